--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -8,7 +8,7 @@
 
 use gingerkeel_domain::cluster::ClusterState;
 use gingerkeel_domain::identifiers::{BrokerName, BrokerRun, ControlName, TenantName};
-use gingerkeel_domain::quota::{PeerUsage, TenantLevel, UsageFold, UsageReport};
+use gingerkeel_domain::quota::{PeerUsage, TenantLevel, UsageAggregator, UsageReport};
 use gingerkeel_domain::routes::RouteVersion;
 use gingerkeel_domain::time::Timestamp;
 use local_sync::mpsc::unbounded::Tx;
@@ -27,7 +27,7 @@
 /// What this process knows of the use of quotas.
 pub struct QuotaUse {
     own_name: ControlName,
-    fold: UsageFold,
+    fold: UsageAggregator,
     /// The run of each broker that reported last.
     runs: BTreeMap<BrokerName, BrokerRun>,
     /// The version of the configuration whose quotas count.
@@ -45,7 +45,7 @@
     pub fn new(own_name: ControlName, run: u64) -> Self {
         Self {
             own_name,
-            fold: UsageFold::new(run),
+            fold: UsageAggregator::new(run),
             runs: BTreeMap::new(),
             version: None,
             has_quotas: false,
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -51,7 +51,7 @@
 /// Load it answers: hundreds of brokers that each see a small part of a tenant's requests, and tenants by
 /// the thousand of which few come near their quotas.
 #[derive(Debug)]
-pub struct UsageFold {
+pub struct UsageAggregator {
     own: OwnTotals,
     tenants: BTreeMap<TenantName, FleetTenant>,
     sources: BTreeMap<SourceId, Source>,
@@ -68,7 +68,7 @@
     looked: Option<Timestamp>,
 }
 
-impl UsageFold {
+impl UsageAggregator {
     /// A control process that has just started; `run` is drawn for each start.
     pub fn new(run: u64) -> Self {
         Self {
--- a/crates/domain/src/quota/mod.rs
+++ b/crates/domain/src/quota/mod.rs
@@ -21,7 +21,7 @@
 mod source;
 mod usage;
 
-pub use fold::UsageFold;
+pub use fold::UsageAggregator;
 pub use limited::{LimitedTenants, Relief};
 pub use meter::{QuotaMeter, QuotaSettings, QuotaVerdict, TenantStanding};
 pub use usage::{FleetUsage, PeerUsage, TenantLevel, TenantTotal, TenantUse, UsageReport};
--- a/crates/domain/tests/quota_cost.rs
+++ b/crates/domain/tests/quota_cost.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::identifiers::{BrokerName, BrokerRun, TenantName};
-use gingerkeel_domain::quota::{FleetUsage, TenantUse, UsageFold, UsageReport};
+use gingerkeel_domain::quota::{FleetUsage, TenantUse, UsageAggregator, UsageReport};
 use gingerkeel_domain::routes::TenantQuota;
 use gingerkeel_domain::time::Timestamp;
 
@@ -37,7 +37,7 @@
 #[test]
 fn messages_stay_small_and_each_tenant_is_told_of_in_time() {
     let quota = TenantQuota { requests_per_1000_s: 10_000, burst_thousandths: 10_000 };
-    let mut fold = UsageFold::new(1);
+    let mut fold = UsageAggregator::new(1);
     fold.configure(at(0), (0..TENANTS).map(|number| (tenant(number), quota)));
     fold.members(at(0), 1_600, std::iter::empty());
     let broker = BrokerName::new("broker");
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -8,7 +8,7 @@
 
 use gingerkeel_domain::identifiers::{BrokerName, BrokerRun, ControlName, TenantName};
 use gingerkeel_domain::quota::{
-    FleetUsage, PeerUsage, QuotaMeter, QuotaSettings, QuotaVerdict, UsageFold, UsageReport,
+    FleetUsage, PeerUsage, QuotaMeter, QuotaSettings, QuotaVerdict, UsageAggregator, UsageReport,
 };
 use gingerkeel_domain::routes::TenantQuota;
 use gingerkeel_domain::time::Timestamp;
@@ -75,7 +75,7 @@
 }
 
 struct Control {
-    fold: UsageFold,
+    fold: UsageAggregator,
     alive: bool,
     run: u64,
     last_heard_ms: BTreeMap<usize, u64>,
@@ -276,7 +276,7 @@
 
     fn new_control(&self, number: usize, run: u64) -> Control {
         let now = at(self.now_ms);
-        let mut fold = UsageFold::new(run * 1_000 + number as u64);
+        let mut fold = UsageAggregator::new(run * 1_000 + number as u64);
         fold.configure(now, listed(&self.quotas));
         Control { fold, alive: true, run, last_heard_ms: BTreeMap::new() }
     }
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -4,7 +4,7 @@
 
 use gingerkeel_domain::identifiers::{BrokerName, BrokerRun, ControlName, TenantName};
 use gingerkeel_domain::quota::{
-    FleetUsage, PeerUsage, QuotaMeter, QuotaSettings, TenantTotal, TenantUse, UsageFold,
+    FleetUsage, PeerUsage, QuotaMeter, QuotaSettings, TenantTotal, TenantUse, UsageAggregator,
     UsageReport,
 };
 use gingerkeel_domain::routes::TenantQuota;
@@ -21,8 +21,8 @@
 }
 
 /// A control process that knows the members, long enough after its start for the burst to be whole.
-fn fold() -> UsageFold {
-    let mut fold = UsageFold::new(1);
+fn fold() -> UsageAggregator {
+    let mut fold = UsageAggregator::new(1);
     fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
     fold.members(at(0), 1, std::iter::empty());
     (0..200).for_each(|round| {
@@ -31,7 +31,7 @@
     fold
 }
 
-fn level(fold: &mut UsageFold, now: Timestamp) -> i64 {
+fn level(fold: &mut UsageAggregator, now: Timestamp) -> i64 {
     let levels = fold.for_brokers(now);
     levels.first().map_or(100_000, |level| level.level_thousandths)
 }
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_control_process_that_does_not_know_the_members_tells_nothing() {
-    let mut fold = UsageFold::new(1);
+    let mut fold = UsageAggregator::new(1);
     fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
     assert!(!fold.is_informed(at(60_000)));
     fold.members(at(60_000), 3, std::iter::empty());
