--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -7,7 +7,7 @@
 
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::quota::{
-    FleetUsage, LimitedTenants, QuotaMeter, QuotaSettings, QuotaVerdict,
+    FleetUsage, LimitedTenants, QuotaDecision, QuotaMeter, QuotaSettings,
 };
 use gingerkeel_domain::routes::Tenant;
 use gingerkeel_settings::RouteSettings;
@@ -92,7 +92,7 @@
         let now = self.clock.now();
         let draw = self.random.borrow_mut().random();
         let verdict = self.meter.borrow_mut().arrive(now, tenant, draw);
-        let QuotaVerdict::Beyond { retry_after } = verdict else {
+        let QuotaDecision::Beyond { retry_after } = verdict else {
             return Ok(());
         };
         if self.limited.borrow_mut().refused(now, tenant) {
--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -29,7 +29,7 @@
 
 /// Whether a request is within its tenant's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QuotaVerdict {
+pub enum QuotaDecision {
     /// It may run.
     Within,
     /// It must not run.
@@ -102,17 +102,17 @@
     }
 
     /// A request of `tenant` has come; `draw` is a random number from 0 to below 1.
-    pub fn arrive(&mut self, now: Timestamp, tenant: &TenantName, draw: f64) -> QuotaVerdict {
+    pub fn arrive(&mut self, now: Timestamp, tenant: &TenantName, draw: f64) -> QuotaDecision {
         let without_news = self.without_news(now);
         let Some(metered) = self.tenants.get_mut(tenant) else {
-            return QuotaVerdict::Within;
+            return QuotaDecision::Within;
         };
         let balance = match without_news {
             None => metered.balance(now, &self.settings),
             Some(span) => metered.balance_without_news(now, &self.settings, span, self.brokers),
         };
         let verdict = metered.decide(now, &balance, draw);
-        let dropped = self.counts.count(now, tenant, verdict == QuotaVerdict::Within);
+        let dropped = self.counts.count(now, tenant, verdict == QuotaDecision::Within);
         if let Some(metered) = self.tenants.get_mut(tenant) {
             metered.heard(dropped);
         }
--- a/crates/domain/src/quota/metered.rs
+++ b/crates/domain/src/quota/metered.rs
@@ -4,7 +4,7 @@
 
 use super::admission::Balance;
 use super::bucket::Bucket;
-use super::meter::{NEWS_LIFE, QuotaSettings, QuotaVerdict, TenantStanding};
+use super::meter::{NEWS_LIFE, QuotaDecision, QuotaSettings, TenantStanding};
 use super::rate::{DecayedRate, LaggedRate};
 use super::share::{FLOW_MEMORY, Flow, LEAST_FLOW_TIME, aged_share};
 use super::usage::TenantLevel;
@@ -192,21 +192,21 @@
     }
 
     /// Counts a request that has come, and decides by `draw`.
-    pub(super) fn decide(&mut self, now: Timestamp, balance: &Balance, draw: f64) -> QuotaVerdict {
+    pub(super) fn decide(&mut self, now: Timestamp, balance: &Balance, draw: f64) -> QuotaDecision {
         self.arrived += 1;
         self.arrivals.add(now, 1.0);
         self.slow_arrivals.add(now, 1.0);
         self.flow.add(now, 1.0);
         if draw >= balance.fraction() {
             self.refused += 1;
-            return QuotaVerdict::Beyond { retry_after: balance.retry_after(draw) };
+            return QuotaDecision::Beyond { retry_after: balance.retry_after(draw) };
         }
         self.unheard += 1.0;
         self.admitted_flow.add(now, 1.0);
         if let Some(part) = &mut self.part {
             part.bucket.take(now, 1.0);
         }
-        QuotaVerdict::Within
+        QuotaDecision::Within
     }
 
     /// Control has heard of `admitted` requests, or they are too old to matter.
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -8,7 +8,7 @@
 
 use gingerkeel_domain::identifiers::{BrokerName, BrokerRun, ControlName, TenantName};
 use gingerkeel_domain::quota::{
-    FleetUsage, PeerUsage, QuotaMeter, QuotaSettings, QuotaVerdict, UsageAggregator, UsageReport,
+    FleetUsage, PeerUsage, QuotaDecision, QuotaMeter, QuotaSettings, UsageAggregator, UsageReport,
 };
 use gingerkeel_domain::routes::TenantQuota;
 use gingerkeel_domain::time::Timestamp;
@@ -307,7 +307,7 @@
         let tenant = TenantName::new(tenant);
         let draw = self.draw();
         let verdict = self.brokers[broker].meter.arrive(at(self.now_ms), &tenant, draw);
-        let admitted = verdict == QuotaVerdict::Within;
+        let admitted = verdict == QuotaDecision::Within;
         self.ledgers.get_mut(&tenant).expect("a known tenant").record(self.now_ms, admitted);
     }
 
--- a/crates/domain/tests/quota_give_back.rs
+++ b/crates/domain/tests/quota_give_back.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::identifiers::TenantName;
-use gingerkeel_domain::quota::{FleetUsage, QuotaMeter, QuotaSettings, QuotaVerdict};
+use gingerkeel_domain::quota::{FleetUsage, QuotaDecision, QuotaMeter, QuotaSettings};
 use gingerkeel_domain::routes::TenantQuota;
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
@@ -26,7 +26,7 @@
 
 /// Whether a request is admitted that comes while a third of the requests fit.
 fn is_admitted(meter: &mut QuotaMeter, now: Timestamp, tenant: &TenantName) -> bool {
-    meter.arrive(now, tenant, 0.3) == QuotaVerdict::Within
+    meter.arrive(now, tenant, 0.3) == QuotaDecision::Within
 }
 
 /// Of ten requests so far apart, how many are admitted where each of them is given back or none is.
--- a/crates/domain/tests/quotas.rs
+++ b/crates/domain/tests/quotas.rs
@@ -3,7 +3,7 @@
 mod quota_fleet;
 
 use gingerkeel_domain::identifiers::TenantName;
-use gingerkeel_domain::quota::{QuotaMeter, QuotaVerdict};
+use gingerkeel_domain::quota::{QuotaDecision, QuotaMeter};
 use gingerkeel_domain::routes::TenantQuota;
 use quota_fleet::{Fleet, Load, SETTINGS, Spread, at, quota};
 use rstest::rstest;
@@ -89,13 +89,13 @@
     let tenant = TenantName::new("t");
     let mut meter = QuotaMeter::new(SETTINGS);
     meter.configure(at(0), [(tenant.clone(), quota(1.0, 1.0))].into_iter());
-    let verdicts: Vec<QuotaVerdict> =
+    let verdicts: Vec<QuotaDecision> =
         (0..100).map(|_| meter.arrive(at(1_000), &tenant, 0.5)).collect();
-    let Some(QuotaVerdict::Beyond { retry_after }) = verdicts.last() else {
+    let Some(QuotaDecision::Beyond { retry_after }) = verdicts.last() else {
         panic!("a hundred at once are beyond a quota of one a second");
     };
     assert!(retry_after.as_secs_f64() >= 1.0 && retry_after.as_secs_f64() <= 60.0);
-    assert_eq!(verdicts[0], QuotaVerdict::Within);
+    assert_eq!(verdicts[0], QuotaDecision::Within);
 }
 
 #[test]
@@ -103,7 +103,7 @@
     let mut meter = QuotaMeter::new(SETTINGS);
     let free = TenantName::new("free");
     meter.configure(at(0), [(free.clone(), TenantQuota::default())].into_iter());
-    let unlimited = (0..10_000).all(|_| meter.arrive(at(0), &free, 0.9) == QuotaVerdict::Within);
+    let unlimited = (0..10_000).all(|_| meter.arrive(at(0), &free, 0.9) == QuotaDecision::Within);
     assert!(unlimited);
     assert!(meter.report(at(100)).is_none_or(|report| report.uses.is_empty()));
 }
