--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaDecision {
     /// It may run.
-    Within,
+    Admitted,
     /// It must not run.
     Beyond {
         /// When the quota has room again.
@@ -105,14 +105,14 @@
     pub fn arrive(&mut self, now: Timestamp, tenant: &TenantName, draw: f64) -> QuotaDecision {
         let without_news = self.without_news(now);
         let Some(metered) = self.tenants.get_mut(tenant) else {
-            return QuotaDecision::Within;
+            return QuotaDecision::Admitted;
         };
         let balance = match without_news {
             None => metered.balance(now, &self.settings),
             Some(span) => metered.balance_without_news(now, &self.settings, span, self.brokers),
         };
         let verdict = metered.decide(now, &balance, draw);
-        let dropped = self.counts.count(now, tenant, verdict == QuotaDecision::Within);
+        let dropped = self.counts.count(now, tenant, verdict == QuotaDecision::Admitted);
         if let Some(metered) = self.tenants.get_mut(tenant) {
             metered.heard(dropped);
         }
--- a/crates/domain/src/quota/metered.rs
+++ b/crates/domain/src/quota/metered.rs
@@ -206,7 +206,7 @@
         if let Some(part) = &mut self.part {
             part.bucket.take(now, 1.0);
         }
-        QuotaDecision::Within
+        QuotaDecision::Admitted
     }
 
     /// Control has heard of `admitted` requests, or they are too old to matter.
--- a/crates/domain/tests/quotas.rs
+++ b/crates/domain/tests/quotas.rs
@@ -95,7 +95,7 @@
         panic!("a hundred at once are beyond a quota of one a second");
     };
     assert!(retry_after.as_secs_f64() >= 1.0 && retry_after.as_secs_f64() <= 60.0);
-    assert_eq!(verdicts[0], QuotaDecision::Within);
+    assert_eq!(verdicts[0], QuotaDecision::Admitted);
 }
 
 #[test]
@@ -103,7 +103,7 @@
     let mut meter = QuotaMeter::new(SETTINGS);
     let free = TenantName::new("free");
     meter.configure(at(0), [(free.clone(), TenantQuota::default())].into_iter());
-    let unlimited = (0..10_000).all(|_| meter.arrive(at(0), &free, 0.9) == QuotaDecision::Within);
+    let unlimited = (0..10_000).all(|_| meter.arrive(at(0), &free, 0.9) == QuotaDecision::Admitted);
     assert!(unlimited);
     assert!(meter.report(at(100)).is_none_or(|report| report.uses.is_empty()));
 }
