--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -92,7 +92,7 @@
         let now = self.clock.now();
         let draw = self.random.borrow_mut().random();
         let verdict = self.meter.borrow_mut().arrive(now, tenant, draw);
-        let QuotaDecision::Beyond { retry_after } = verdict else {
+        let QuotaDecision::Rejected { retry_after } = verdict else {
             return Ok(());
         };
         if self.limited.borrow_mut().refused(now, tenant) {
--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -33,7 +33,7 @@
     /// It may run.
     Admitted,
     /// It must not run.
-    Beyond {
+    Rejected {
         /// When the quota has room again.
         retry_after: Duration,
     },
--- a/crates/domain/src/quota/metered.rs
+++ b/crates/domain/src/quota/metered.rs
@@ -199,7 +199,7 @@
         self.flow.add(now, 1.0);
         if draw >= balance.fraction() {
             self.refused += 1;
-            return QuotaDecision::Beyond { retry_after: balance.retry_after(draw) };
+            return QuotaDecision::Rejected { retry_after: balance.retry_after(draw) };
         }
         self.unheard += 1.0;
         self.admitted_flow.add(now, 1.0);
