--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -41,7 +41,7 @@
 
 /// What a broker counted of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TenantStanding<'a> {
+pub struct TenantQuotaStatus<'a> {
     /// The tenant.
     pub tenant: &'a TenantName,
     /// Requests that came here since the start.
@@ -160,7 +160,7 @@
     }
 
     /// What was counted of each tenant that has a quota, by name.
-    pub fn standing(&self) -> impl Iterator<Item = TenantStanding<'_>> {
+    pub fn standing(&self) -> impl Iterator<Item = TenantQuotaStatus<'_>> {
         self.tenants.iter().map(|(tenant, metered)| metered.standing(tenant))
     }
 
--- a/crates/domain/src/quota/metered.rs
+++ b/crates/domain/src/quota/metered.rs
@@ -4,7 +4,7 @@
 
 use super::admission::Balance;
 use super::bucket::Bucket;
-use super::meter::{NEWS_LIFE, QuotaDecision, QuotaSettings, TenantStanding};
+use super::meter::{NEWS_LIFE, QuotaDecision, QuotaSettings, TenantQuotaStatus};
 use super::rate::{DecayedRate, LaggedRate};
 use super::share::{FLOW_MEMORY, Flow, LEAST_FLOW_TIME, aged_share};
 use super::usage::TenantLevel;
@@ -240,9 +240,9 @@
         self.part = None;
     }
 
-    pub(super) fn standing<'a>(&self, tenant: &'a TenantName) -> TenantStanding<'a> {
+    pub(super) fn standing<'a>(&self, tenant: &'a TenantName) -> TenantQuotaStatus<'a> {
         let level = self.told.map_or(self.quota.burst(), |told| told.level);
-        TenantStanding {
+        TenantQuotaStatus {
             tenant,
             arrived: self.arrived,
             refused: self.refused,
--- a/crates/domain/src/quota/mod.rs
+++ b/crates/domain/src/quota/mod.rs
@@ -23,5 +23,5 @@
 
 pub use fold::UsageAggregator;
 pub use limited::{LimitedTenants, Relief};
-pub use meter::{QuotaDecision, QuotaMeter, QuotaSettings, TenantStanding};
+pub use meter::{QuotaDecision, QuotaMeter, QuotaSettings, TenantQuotaStatus};
 pub use usage::{FleetUsage, PeerUsage, TenantLevel, TenantTotal, TenantUse, UsageReport};
