--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -125,7 +125,7 @@
     /// What each tenant with a quota sent, the most refused first.
     pub fn counts(&self) -> Vec<TenantCount> {
         let meter = self.meter.borrow();
-        let standing = meter.standing();
+        let standing = meter.tenant_statuses();
         let mut counts: Vec<TenantCount> = standing
             .map(|standing| TenantCount {
                 tenant: standing.tenant.clone(),
--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -160,7 +160,7 @@
     }
 
     /// What was counted of each tenant that has a quota, by name.
-    pub fn standing(&self) -> impl Iterator<Item = TenantQuotaStatus<'_>> {
+    pub fn tenant_statuses(&self) -> impl Iterator<Item = TenantQuotaStatus<'_>> {
         self.tenants.iter().map(|(tenant, metered)| metered.standing(tenant))
     }
 
--- a/crates/domain/tests/quota_give_back.rs
+++ b/crates/domain/tests/quota_give_back.rs
@@ -68,7 +68,7 @@
     meter.give_back(at(2), &tenant);
     let report = meter.report(at(100)).expect("a report");
     assert_eq!((report.uses[0].arrived, report.uses[0].admitted), (2, 1));
-    let level = |meter: &QuotaMeter| meter.standing().next().map(|standing| standing.level);
+    let level = |meter: &QuotaMeter| meter.tenant_statuses().next().map(|standing| standing.level);
     assert_eq!(level(&meter), Some(2.0));
     meter.give_back(at(101), &tenant);
     assert_eq!(level(&meter), Some(2.0));
@@ -79,6 +79,6 @@
     let tenant = TenantName::new("t");
     let mut meter = meter(&tenant);
     (0..100).for_each(|_| meter.give_back(at(0), &tenant));
-    let level = meter.standing().next().map(|standing| standing.level);
+    let level = meter.tenant_statuses().next().map(|standing| standing.level);
     assert_eq!(level, Some(3.0));
 }
