--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -91,7 +91,7 @@
     pub fn admit(&self, tenant: &TenantName) -> Result<(), Duration> {
         let now = self.clock.now();
         let draw = self.random.borrow_mut().random();
-        let verdict = self.meter.borrow_mut().arrive(now, tenant, draw);
+        let verdict = self.meter.borrow_mut().admit(now, tenant, draw);
         let QuotaDecision::Rejected { retry_after } = verdict else {
             return Ok(());
         };
--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -102,7 +102,7 @@
     }
 
     /// A request of `tenant` has come; `draw` is a random number from 0 to below 1.
-    pub fn arrive(&mut self, now: Timestamp, tenant: &TenantName, draw: f64) -> QuotaDecision {
+    pub fn admit(&mut self, now: Timestamp, tenant: &TenantName, draw: f64) -> QuotaDecision {
         let without_news = self.without_news(now);
         let Some(metered) = self.tenants.get_mut(tenant) else {
             return QuotaDecision::Admitted;
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -306,7 +306,7 @@
         };
         let tenant = TenantName::new(tenant);
         let draw = self.draw();
-        let verdict = self.brokers[broker].meter.arrive(at(self.now_ms), &tenant, draw);
+        let verdict = self.brokers[broker].meter.admit(at(self.now_ms), &tenant, draw);
         let admitted = verdict == QuotaDecision::Admitted;
         self.ledgers.get_mut(&tenant).expect("a known tenant").record(self.now_ms, admitted);
     }
--- a/crates/domain/tests/quota_give_back.rs
+++ b/crates/domain/tests/quota_give_back.rs
@@ -26,7 +26,7 @@
 
 /// Whether a request is admitted that comes while a third of the requests fit.
 fn is_admitted(meter: &mut QuotaMeter, now: Timestamp, tenant: &TenantName) -> bool {
-    meter.arrive(now, tenant, 0.3) == QuotaDecision::Admitted
+    meter.admit(now, tenant, 0.3) == QuotaDecision::Admitted
 }
 
 /// Of ten requests so far apart, how many are admitted where each of them is given back or none is.
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -77,7 +77,7 @@
     let admitted = |report: Option<UsageReport>| {
         report.map_or(0, |report| report.uses.iter().map(|used| used.admitted).sum())
     };
-    let arrive = |meter: &mut QuotaMeter, now| meter.arrive(now, &tenant(), 0.0);
+    let arrive = |meter: &mut QuotaMeter, now| meter.admit(now, &tenant(), 0.0);
     arrive(&mut meter, at(10));
     assert_eq!(admitted(meter.report(at(100))), 1);
     meter.told(at(150), &FleetUsage { heard: 1, levels: Vec::new() });
--- a/crates/domain/tests/quotas.rs
+++ b/crates/domain/tests/quotas.rs
@@ -90,7 +90,7 @@
     let mut meter = QuotaMeter::new(SETTINGS);
     meter.configure(at(0), [(tenant.clone(), quota(1.0, 1.0))].into_iter());
     let verdicts: Vec<QuotaDecision> =
-        (0..100).map(|_| meter.arrive(at(1_000), &tenant, 0.5)).collect();
+        (0..100).map(|_| meter.admit(at(1_000), &tenant, 0.5)).collect();
     let Some(QuotaDecision::Rejected { retry_after }) = verdicts.last() else {
         panic!("a hundred at once are beyond a quota of one a second");
     };
@@ -103,7 +103,7 @@
     let mut meter = QuotaMeter::new(SETTINGS);
     let free = TenantName::new("free");
     meter.configure(at(0), [(free.clone(), TenantQuota::default())].into_iter());
-    let unlimited = (0..10_000).all(|_| meter.arrive(at(0), &free, 0.9) == QuotaDecision::Admitted);
+    let unlimited = (0..10_000).all(|_| meter.admit(at(0), &free, 0.9) == QuotaDecision::Admitted);
     assert!(unlimited);
     assert!(meter.report(at(100)).is_none_or(|report| report.uses.is_empty()));
 }
