--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -81,7 +81,7 @@
 
     /// A control process told how the quotas stand.
     pub fn told(&self, usage: &FleetUsage) {
-        self.meter.borrow_mut().told(self.clock.now(), usage);
+        self.meter.borrow_mut().apply_fleet_usage(self.clock.now(), usage);
     }
 
     /// Counts a request of a tenant against its quota.
--- a/crates/domain/src/quota/meter.rs
+++ b/crates/domain/src/quota/meter.rs
@@ -144,7 +144,7 @@
     }
 
     /// The control process tells how the quotas of all brokers stand.
-    pub fn told(&mut self, now: Timestamp, usage: &FleetUsage) {
+    pub fn apply_fleet_usage(&mut self, now: Timestamp, usage: &FleetUsage) {
         if !self.in_touch {
             self.tenants.values_mut().for_each(Metered::end_part);
         }
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -486,7 +486,7 @@
                 let broker = &mut self.brokers[broker];
                 if broker.link == link && reached && broker.frozen_until_ms <= self.now_ms {
                     broker.last_heard_ms = self.now_ms;
-                    broker.meter.told(now, &usage);
+                    broker.meter.apply_fleet_usage(now, &usage);
                 }
             }
             Message::Peer { from, to, usage } => {
--- a/crates/domain/tests/quota_give_back.rs
+++ b/crates/domain/tests/quota_give_back.rs
@@ -36,7 +36,7 @@
     let admitted = (0..10).filter(|turn| {
         let now = at(turn * apart_ms);
         if in_touch {
-            meter.told(now, &FleetUsage::default());
+            meter.apply_fleet_usage(now, &FleetUsage::default());
         }
         let admitted = is_admitted(&mut meter, now, &tenant);
         if gives_back {
@@ -62,7 +62,7 @@
 fn what_did_not_run_is_not_reported_and_what_was_reported_stays_counted() {
     let tenant = TenantName::new("t");
     let mut meter = meter(&tenant);
-    meter.told(at(0), &FleetUsage::default());
+    meter.apply_fleet_usage(at(0), &FleetUsage::default());
     assert!(is_admitted(&mut meter, at(0), &tenant));
     assert!(is_admitted(&mut meter, at(1), &tenant));
     meter.give_back(at(2), &tenant);
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -80,7 +80,7 @@
     let arrive = |meter: &mut QuotaMeter, now| meter.admit(now, &tenant(), 0.0);
     arrive(&mut meter, at(10));
     assert_eq!(admitted(meter.report(at(100))), 1);
-    meter.told(at(150), &FleetUsage { heard: 1, levels: Vec::new() });
+    meter.apply_fleet_usage(at(150), &FleetUsage { heard: 1, levels: Vec::new() });
     arrive(&mut meter, at(160));
     assert_eq!(admitted(meter.report(at(200))), 1, "without what was acknowledged");
     arrive(&mut meter, at(210));
