--- a/crates/domain/src/quota/limited.rs
+++ b/crates/domain/src/quota/limited.rs
@@ -25,7 +25,7 @@
 
 /// A tenant is not limited any more.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Relief {
+pub struct LimitEpisode {
     /// The tenant.
     pub tenant: TenantName,
     /// Its requests that were refused meanwhile.
@@ -48,7 +48,7 @@
     }
 
     /// The tenants that are not limited any more, each once.
-    pub fn relieved(&mut self, now: Timestamp) -> Vec<Relief> {
+    pub fn relieved(&mut self, now: Timestamp) -> Vec<LimitEpisode> {
         let is_over = |limited: &Limited| now.since(limited.last_refusal) >= RELIEF_AFTER;
         let over: Vec<TenantName> = self
             .tenants
@@ -59,9 +59,9 @@
         over.into_iter().filter_map(|tenant| self.end(tenant)).collect()
     }
 
-    fn end(&mut self, tenant: TenantName) -> Option<Relief> {
+    fn end(&mut self, tenant: TenantName) -> Option<LimitEpisode> {
         let limited = self.tenants.remove(&tenant)?;
         let lasted = limited.last_refusal.since(limited.since);
-        Some(Relief { tenant, refused: limited.refused, lasted })
+        Some(LimitEpisode { tenant, refused: limited.refused, lasted })
     }
 }
--- a/crates/domain/src/quota/mod.rs
+++ b/crates/domain/src/quota/mod.rs
@@ -22,6 +22,6 @@
 mod usage;
 
 pub use fold::UsageAggregator;
-pub use limited::{LimitedTenants, Relief};
+pub use limited::{LimitEpisode, LimitedTenants};
 pub use meter::{QuotaDecision, QuotaMeter, QuotaSettings, TenantQuotaStatus};
 pub use usage::{FleetUsage, PeerUsage, TenantLevel, TenantTotal, TenantUse, UsageReport};
--- a/crates/domain/tests/limited_tenants.rs
+++ b/crates/domain/tests/limited_tenants.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::identifiers::TenantName;
-use gingerkeel_domain::quota::{LimitedTenants, Relief};
+use gingerkeel_domain::quota::{LimitEpisode, LimitedTenants};
 use gingerkeel_domain::time::Timestamp;
 
 fn at(milliseconds: u64) -> Timestamp {
@@ -18,7 +18,7 @@
     assert_eq!(begun, 1);
     assert_eq!(limited.relieved(at(14_989)), []);
     let lasted = Duration::from_millis(9_990);
-    assert_eq!(limited.relieved(at(14_990)), [Relief { tenant, refused: 1_000, lasted }]);
+    assert_eq!(limited.relieved(at(14_990)), [LimitEpisode { tenant, refused: 1_000, lasted }]);
     assert_eq!(limited.relieved(at(20_000)), []);
 }
 
