--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -108,7 +108,7 @@
 
     /// Logs the tenants that are not limited any more.
     pub fn note_relief(&self) {
-        for relief in self.limited.borrow_mut().relieved(self.clock.now()) {
+        for relief in self.limited.borrow_mut().take_ended(self.clock.now()) {
             let (tenant, refused) = (relief.tenant, relief.refused);
             let limited_ms = relief.lasted.as_millis() as u64;
             info!(event = "tenant_not_limited", %tenant, refused, limited_ms);
--- a/crates/domain/src/quota/limited.rs
+++ b/crates/domain/src/quota/limited.rs
@@ -48,7 +48,7 @@
     }
 
     /// The tenants that are not limited any more, each once.
-    pub fn relieved(&mut self, now: Timestamp) -> Vec<LimitEpisode> {
+    pub fn take_ended(&mut self, now: Timestamp) -> Vec<LimitEpisode> {
         let is_over = |limited: &Limited| now.since(limited.last_refusal) >= RELIEF_AFTER;
         let over: Vec<TenantName> = self
             .tenants
--- a/crates/domain/tests/limited_tenants.rs
+++ b/crates/domain/tests/limited_tenants.rs
@@ -16,10 +16,10 @@
     let (mut limited, tenant) = (LimitedTenants::default(), TenantName::new("t"));
     let begun = (0..1_000).filter(|turn| limited.refused(at(turn * 10), &tenant)).count();
     assert_eq!(begun, 1);
-    assert_eq!(limited.relieved(at(14_989)), []);
+    assert_eq!(limited.take_ended(at(14_989)), []);
     let lasted = Duration::from_millis(9_990);
-    assert_eq!(limited.relieved(at(14_990)), [LimitEpisode { tenant, refused: 1_000, lasted }]);
-    assert_eq!(limited.relieved(at(20_000)), []);
+    assert_eq!(limited.take_ended(at(14_990)), [LimitEpisode { tenant, refused: 1_000, lasted }]);
+    assert_eq!(limited.take_ended(at(20_000)), []);
 }
 
 #[test]
@@ -29,7 +29,7 @@
     assert!(limited.refused(at(0), &first));
     assert!(limited.refused(at(3_000), &second));
     let relieved: Vec<TenantName> =
-        limited.relieved(at(6_000)).into_iter().map(|relief| relief.tenant).collect();
+        limited.take_ended(at(6_000)).into_iter().map(|relief| relief.tenant).collect();
     assert!(limited.refused(at(6_000), &first), "it is limited anew");
     assert_eq!(relieved, [first]);
 }
