--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -95,7 +95,7 @@
         let QuotaDecision::Rejected { retry_after } = verdict else {
             return Ok(());
         };
-        if self.limited.borrow_mut().refused(now, tenant) {
+        if self.limited.borrow_mut().record_refusal(now, tenant) {
             info!(event = "tenant_limited", %tenant);
         }
         Err(retry_after)
--- a/crates/domain/src/quota/limited.rs
+++ b/crates/domain/src/quota/limited.rs
@@ -36,7 +36,7 @@
 
 impl LimitedTenants {
     /// A request of a tenant is refused. True when the tenant was not limited before.
-    pub fn refused(&mut self, now: Timestamp, tenant: &TenantName) -> bool {
+    pub fn record_refusal(&mut self, now: Timestamp, tenant: &TenantName) -> bool {
         if let Some(limited) = self.tenants.get_mut(tenant) {
             limited.last_refusal = now;
             limited.refused += 1;
--- a/crates/domain/tests/limited_tenants.rs
+++ b/crates/domain/tests/limited_tenants.rs
@@ -14,7 +14,7 @@
 #[test]
 fn tenant_refused_a_thousand_times_is_told_of_twice() {
     let (mut limited, tenant) = (LimitedTenants::default(), TenantName::new("t"));
-    let begun = (0..1_000).filter(|turn| limited.refused(at(turn * 10), &tenant)).count();
+    let begun = (0..1_000).filter(|turn| limited.record_refusal(at(turn * 10), &tenant)).count();
     assert_eq!(begun, 1);
     assert_eq!(limited.take_ended(at(14_989)), []);
     let lasted = Duration::from_millis(9_990);
@@ -26,10 +26,10 @@
 fn tenants_are_told_of_each_for_itself() {
     let mut limited = LimitedTenants::default();
     let [first, second] = ["a", "b"].map(TenantName::new);
-    assert!(limited.refused(at(0), &first));
-    assert!(limited.refused(at(3_000), &second));
+    assert!(limited.record_refusal(at(0), &first));
+    assert!(limited.record_refusal(at(3_000), &second));
     let relieved: Vec<TenantName> =
         limited.take_ended(at(6_000)).into_iter().map(|relief| relief.tenant).collect();
-    assert!(limited.refused(at(6_000), &first), "it is limited anew");
+    assert!(limited.record_refusal(at(6_000), &first), "it is limited anew");
     assert_eq!(relieved, [first]);
 }
