--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -110,7 +110,7 @@
 
     /// What the other control processes are to be told.
     pub fn for_peers(&mut self, now: Timestamp) -> Option<PeerUsage> {
-        let usage = self.fold.for_peers(now);
+        let usage = self.fold.peer_message(now);
         self.has_quotas.then_some(usage)
     }
 
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -195,7 +195,7 @@
 
     /// What the other control processes are to be told, each 100 ms; an empty message tells them that
     /// this process is there.
-    pub fn for_peers(&mut self, now: Timestamp) -> PeerUsage {
+    pub fn peer_message(&mut self, now: Timestamp) -> PeerUsage {
         self.look(now);
         self.own.message()
     }
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -366,7 +366,7 @@
             self.tell_members(number);
         }
         self.notice_lost_brokers(number);
-        let usage = self.controls[number].fold.for_peers(now);
+        let usage = self.controls[number].fold.peer_message(now);
         for to in (0..self.controls.len()).filter(|to| *to != number) {
             self.send(Message::Peer { from: number, to, usage: usage.clone() });
         }
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -26,7 +26,7 @@
     fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
     fold.members(at(0), 1, std::iter::empty());
     (0..200).for_each(|round| {
-        fold.for_peers(at(round * 100));
+        fold.peer_message(at(round * 100));
     });
     fold
 }
