--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -116,7 +116,7 @@
 
     /// Takes stock of what brokers are to be told until the next round.
     pub fn begin_round(&mut self, now: Timestamp) {
-        self.levels = self.fold.for_brokers(now);
+        self.levels = self.fold.broker_levels(now);
         self.told.retain(|_, (at, _)| now.since(*at) < SHOWN_FOR);
         for level in &self.levels {
             self.told.insert(level.tenant.clone(), (now, level.clone()));
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -203,7 +203,7 @@
     /// What the brokers that this process feeds are to be told, asked for each 100 ms, the most pressing first.
     /// An empty list is sent as well, now and then: a broker that hears nothing takes itself for cut off. Nothing
     /// is sent to brokers before [`Self::is_informed`].
-    pub fn for_brokers(&mut self, now: Timestamp) -> Vec<TenantLevel> {
+    pub fn broker_levels(&mut self, now: Timestamp) -> Vec<TenantLevel> {
         self.look(now);
         let due = self.tenants.iter_mut().filter_map(|(name, tenant)| {
             let urgency = tenant.urgency(now)?;
--- a/crates/domain/tests/quota_cost.rs
+++ b/crates/domain/tests/quota_cost.rs
@@ -47,7 +47,8 @@
     for round in 0..200 {
         let report = report(round);
         fold.report(at(round), &broker, BrokerRun(1), &report);
-        let usage = FleetUsage { heard: fold.heard(&broker), levels: fold.for_brokers(at(round)) };
+        let usage =
+            FleetUsage { heard: fold.heard(&broker), levels: fold.broker_levels(at(round)) };
         assert!(usage.levels.len() <= 32);
         bytes += postcard::to_allocvec(&report).expect("a report").len();
         bytes += postcard::to_allocvec(&usage).expect("levels").len();
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -373,7 +373,7 @@
         if !self.controls[number].fold.is_informed(now) {
             return;
         }
-        let levels = self.controls[number].fold.for_brokers(now);
+        let levels = self.controls[number].fold.broker_levels(now);
         for broker in 0..self.brokers.len() {
             if self.brokers[broker].control == Some(number) && self.reaches(broker, number) {
                 let heard = self.controls[number].fold.heard(&broker_name(broker));
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -32,7 +32,7 @@
 }
 
 fn level(fold: &mut UsageAggregator, now: Timestamp) -> i64 {
-    let levels = fold.for_brokers(now);
+    let levels = fold.broker_levels(now);
     levels.first().map_or(100_000, |level| level.level_thousandths)
 }
 
