--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -99,7 +99,7 @@
         if closed_by_it {
             self.fold.broker_stopped(now, broker);
         } else {
-            self.fold.broker_gone(now, broker);
+            self.fold.broker_lost(now, broker);
         }
     }
 
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -152,7 +152,7 @@
 
     /// The link to a broker is lost without a word (a time-out): it may be serving, and is presumed to
     /// go on.
-    pub fn broker_gone(&mut self, now: Timestamp, broker: &BrokerName) {
+    pub fn broker_lost(&mut self, now: Timestamp, broker: &BrokerName) {
         self.heard.remove(broker);
         self.presume_silent(now, &SourceId::Broker(broker.clone()));
     }
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -406,7 +406,7 @@
             control.last_heard_ms.iter().filter(silent).map(|(broker, _)| *broker).collect();
         for broker in lost {
             control.last_heard_ms.remove(&broker);
-            control.fold.broker_gone(at(now_ms), &broker_name(broker));
+            control.fold.broker_lost(at(now_ms), &broker_name(broker));
         }
     }
 
