--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -76,7 +76,7 @@
         let serving = members.brokers().len() + members.departed().len();
         let brokers = members.brokers().iter();
         let fed_by = brokers.map(|(broker, record)| (broker.clone(), record.control.clone()));
-        self.fold.members(now, serving, fed_by);
+        self.fold.set_members(now, serving, fed_by);
         let others = members.controls().keys().filter(|control| **control != self.own_name);
         self.fold.set_peers(now, others.cloned());
     }
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -167,7 +167,7 @@
     /// The brokers of the replicated list of members, each with the control process that feeds it; called whenever the list has changed.
     ///
     /// `serving` is the number of brokers alive and of those that left lately and may be cut off.
-    pub fn members(
+    pub fn set_members(
         &mut self,
         now: Timestamp,
         serving: usize,
--- a/crates/domain/tests/quota_cost.rs
+++ b/crates/domain/tests/quota_cost.rs
@@ -39,7 +39,7 @@
     let quota = TenantQuota { requests_per_1000_s: 10_000, burst_thousandths: 10_000 };
     let mut fold = UsageAggregator::new(1);
     fold.configure(at(0), (0..TENANTS).map(|number| (tenant(number), quota)));
-    fold.members(at(0), 1_600, std::iter::empty());
+    fold.set_members(at(0), 1_600, std::iter::empty());
     let broker = BrokerName::new("broker");
     let mut bytes = 0;
     let mut told: BTreeMap<TenantName, u64> = BTreeMap::new();
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -395,7 +395,7 @@
         let now = at(self.now_ms);
         let fold = &mut self.controls[number].fold;
         fold.set_peers(now, peers.into_iter());
-        fold.members(now, self.brokers.len(), fed.into_iter());
+        fold.set_members(now, self.brokers.len(), fed.into_iter());
     }
 
     fn notice_lost_brokers(&mut self, number: usize) {
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -24,7 +24,7 @@
 fn fold() -> UsageAggregator {
     let mut fold = UsageAggregator::new(1);
     fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
-    fold.members(at(0), 1, std::iter::empty());
+    fold.set_members(at(0), 1, std::iter::empty());
     (0..200).for_each(|round| {
         fold.peer_message(at(round * 100));
     });
@@ -97,6 +97,6 @@
     let mut fold = UsageAggregator::new(1);
     fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
     assert!(!fold.is_informed(at(60_000)));
-    fold.members(at(60_000), 3, std::iter::empty());
+    fold.set_members(at(60_000), 3, std::iter::empty());
     assert!(fold.is_informed(at(60_000)));
 }
