--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -105,7 +105,7 @@
 
     /// Another control process told its totals.
     pub fn peer_used(&mut self, now: Timestamp, used: &PeerUse) {
-        self.fold.peer(now, &used.control, &used.usage);
+        self.fold.record_peer_usage(now, &used.control, &used.usage);
     }
 
     /// What the other control processes are to be told.
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -132,7 +132,7 @@
     }
 
     /// Another control process tells its totals.
-    pub fn peer(&mut self, now: Timestamp, control: &ControlName, usage: &PeerUsage) {
+    pub fn record_peer_usage(&mut self, now: Timestamp, control: &ControlName, usage: &PeerUsage) {
         let totals = self.peers.entry(control.clone());
         let totals = totals.or_insert_with(|| PeerTotals::new(now, usage.run));
         totals.enter(usage.run);
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -493,7 +493,7 @@
                 let part = |control: usize| self.control_part.get(&control);
                 let passes = part(from) == part(to);
                 if passes && self.controls[to].alive && self.controls[from].alive {
-                    self.controls[to].fold.peer(now, &control_name(from), &usage);
+                    self.controls[to].fold.record_peer_usage(now, &control_name(from), &usage);
                 }
             }
         }
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -60,12 +60,12 @@
 #[test]
 fn totals_of_before_do_not_count_and_those_of_a_new_run_begin_at_nothing() {
     let (mut fold, peer, now) = (fold(), ControlName::new("c"), at(20_000));
-    fold.peer(now, &peer, &totals(7, 1_000_000));
+    fold.record_peer_usage(now, &peer, &totals(7, 1_000_000));
     assert_eq!(level(&mut fold, now), 100_000, "used before this process heard of it");
-    fold.peer(now, &peer, &totals(7, 1_000_030));
-    fold.peer(now, &peer, &totals(7, 1_000_010));
+    fold.record_peer_usage(now, &peer, &totals(7, 1_000_030));
+    fold.record_peer_usage(now, &peer, &totals(7, 1_000_010));
     assert_eq!(level(&mut fold, now), 70_000, "a message that was overtaken changes nothing");
-    fold.peer(now, &peer, &totals(8, 20));
+    fold.record_peer_usage(now, &peer, &totals(8, 20));
     assert_eq!(level(&mut fold, now), 50_000);
 }
 
