--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -90,7 +90,7 @@
     ) {
         let run = BrokerRun(broker.run);
         self.runs.insert(broker.broker.clone(), run);
-        self.fold.report(now, &broker.broker, run, report);
+        self.fold.record_report(now, &broker.broker, run, report);
     }
 
     /// The link to a broker is lost, or its side closed it.
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -104,7 +104,7 @@
 
     /// A broker that this process feeds reports, in this run of its process. A report that comes twice counts
     /// once.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         now: Timestamp,
         broker: &BrokerName,
--- a/crates/domain/tests/quota_cost.rs
+++ b/crates/domain/tests/quota_cost.rs
@@ -46,7 +46,7 @@
     let mut longest = 0;
     for round in 0..200 {
         let report = report(round);
-        fold.report(at(round), &broker, BrokerRun(1), &report);
+        fold.record_report(at(round), &broker, BrokerRun(1), &report);
         let usage =
             FleetUsage { heard: fold.heard(&broker), levels: fold.broker_levels(at(round)) };
         assert!(usage.levels.len() <= 32);
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -475,7 +475,7 @@
                 if self.brokers[broker].link == link && self.reaches(broker, control) {
                     let control = &mut self.controls[control];
                     control.last_heard_ms.insert(broker, self.now_ms);
-                    control.fold.report(now, &broker_name(broker), BrokerRun(run), &report);
+                    control.fold.record_report(now, &broker_name(broker), BrokerRun(run), &report);
                 }
             }
             Message::Levels { broker, link, usage } => {
