--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -141,7 +141,7 @@
     /// The last report of a broker's run that is contained in what is told; 0 for none.
     pub fn heard(&self, broker: &SubscriberIdentity) -> u64 {
         let reported = self.runs.get(&broker.broker) == Some(&BrokerRun(broker.run));
-        if reported { self.fold.heard(&broker.broker) } else { 0 }
+        if reported { self.fold.last_sequence(&broker.broker) } else { 0 }
     }
 }
 
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -220,7 +220,7 @@
     }
 
     /// The last report of `broker` that is contained; 0 for none.
-    pub fn heard(&self, broker: &BrokerName) -> u64 {
+    pub fn last_sequence(&self, broker: &BrokerName) -> u64 {
         self.heard.get(broker).map_or(0, |heard| heard.sequence)
     }
 
--- a/crates/domain/tests/quota_cost.rs
+++ b/crates/domain/tests/quota_cost.rs
@@ -47,8 +47,10 @@
     for round in 0..200 {
         let report = report(round);
         fold.record_report(at(round), &broker, BrokerRun(1), &report);
-        let usage =
-            FleetUsage { heard: fold.heard(&broker), levels: fold.broker_levels(at(round)) };
+        let usage = FleetUsage {
+            heard: fold.last_sequence(&broker),
+            levels: fold.broker_levels(at(round)),
+        };
         assert!(usage.levels.len() <= 32);
         bytes += postcard::to_allocvec(&report).expect("a report").len();
         bytes += postcard::to_allocvec(&usage).expect("levels").len();
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -376,7 +376,7 @@
         let levels = self.controls[number].fold.broker_levels(now);
         for broker in 0..self.brokers.len() {
             if self.brokers[broker].control == Some(number) && self.reaches(broker, number) {
-                let heard = self.controls[number].fold.heard(&broker_name(broker));
+                let heard = self.controls[number].fold.last_sequence(&broker_name(broker));
                 let usage = FleetUsage { heard, levels: levels.clone() };
                 let link = self.brokers[broker].link;
                 self.send(Message::Levels { broker, link, usage });
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -52,7 +52,7 @@
     fold.record_report(now, &broker, BrokerRun(1), &report(1, 50));
     fold.record_report(now, &broker, BrokerRun(1), &report(1, 50));
     assert_eq!(level(&mut fold, now), 50_000);
-    assert_eq!(fold.heard(&broker), 1);
+    assert_eq!(fold.last_sequence(&broker), 1);
     fold.record_report(now, &broker, BrokerRun(2), &report(1, 10));
     assert_eq!(level(&mut fold, now), 40_000);
 }
