--- a/crates/control/src/cluster_task/subscribers.rs
+++ b/crates/control/src/cluster_task/subscribers.rs
@@ -9,7 +9,7 @@
 use gingerkeel_domain::cluster::{
     BrokerOverload, ChargeCounter, ChargeKey, ChargeReceipt, ChargeReport, ClusterState,
 };
-use gingerkeel_domain::crash_suspects::{CrashFinding, FindingFold, Verdict};
+use gingerkeel_domain::crash_suspects::{CrashFinding, FindingStore, Verdict};
 use gingerkeel_domain::directory::{DirectoryDelta, DirectoryVersion};
 use gingerkeel_domain::feed::{BrokerList, KnownBroker};
 use gingerkeel_domain::identifiers::{BrokerName, Revision, ServiceName};
@@ -71,7 +71,7 @@
     warnings: WarningFold,
     /// Refusing leaves that brokers and other control processes were not told of yet.
     untold: Vec<LeafWarning>,
-    findings: FindingFold,
+    findings: FindingStore,
 }
 
 impl Subscribers {
--- a/crates/domain/src/crash_suspects/fold.rs
+++ b/crates/domain/src/crash_suspects/fold.rs
@@ -21,11 +21,11 @@
 
 /// The findings that last.
 #[derive(Debug, Default)]
-pub struct FindingFold {
+pub struct FindingStore {
     kept: BTreeMap<RequestDigest, Kept>,
 }
 
-impl FindingFold {
+impl FindingStore {
     /// A broker reports; gives what the others are to be told.
     pub fn report(&mut self, now: Timestamp, findings: Vec<CrashFinding>) -> Vec<CrashFinding> {
         self.kept.retain(|_, kept| now < kept.until);
--- a/crates/domain/src/crash_suspects/mod.rs
+++ b/crates/domain/src/crash_suspects/mod.rs
@@ -22,7 +22,7 @@
 
 pub use canary_gate::{CanaryGate, Caution, Permission};
 pub use canary_room::CanaryRoom;
-pub use fold::FindingFold;
+pub use fold::FindingStore;
 pub use given_up::{GivenUpRequests, UnderWay};
 pub use suspects::{CrashSuspects, LeafEnd, Treatment};
 
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::crash_suspects::{
-    CanaryGate, CanaryRoom, Caution, CrashFinding, CrashSuspects, FindingFold, GivenUpRequests,
+    CanaryGate, CanaryRoom, Caution, CrashFinding, CrashSuspects, FindingStore, GivenUpRequests,
     LeafEnd, Permission, RequestDigest, Treatment, UnderWay, Verdict, is_survived,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
@@ -352,7 +352,7 @@
 
 #[test]
 fn findings_are_passed_on_once() {
-    let mut fold = FindingFold::default();
+    let mut fold = FindingStore::default();
     let suspected = finding(Verdict::Suspected, 60_000);
     assert_eq!(fold.report(at(0), vec![suspected.clone()]).len(), 1);
     assert_eq!(fold.report(at(10), vec![suspected.clone()]), []);
@@ -365,14 +365,14 @@
 
 #[test]
 fn nobody_is_told_of_a_single_leaf() {
-    let mut fold = FindingFold::default();
+    let mut fold = FindingStore::default();
     let one = CrashFinding { leaves: 1, ..finding(Verdict::Refused, 10_000) };
     assert_eq!(fold.report(at(0), vec![one]), []);
 }
 
 #[test]
 fn a_broker_that_comes_later_is_told_what_lasts() {
-    let mut fold = FindingFold::default();
+    let mut fold = FindingStore::default();
     fold.report(at(0), vec![finding(Verdict::Refused, 10_000)]);
     assert_eq!(fold.current(at(4_000)), [finding(Verdict::Refused, 6_000)]);
     assert_eq!(fold.current(at(10_000)), []);
