--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use gingerkeel_domain::crash_suspects::{CanaryGate, Caution, Permission, UnderWay, is_survived};
+use gingerkeel_domain::crash_suspects::{
+    CanaryGate, Caution, InFlightAttempt, Permission, is_survived,
+};
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{
     AfterAttempt, AttemptError, Choice, NobodyReason, RequestAttempts, Selection, hedge_delay,
@@ -316,8 +318,8 @@
         }
     }
 
-    fn under_way(&self, leaf: &LeafIdentity, sent: Timestamp, alone: bool) -> UnderWay {
-        UnderWay {
+    fn under_way(&self, leaf: &LeafIdentity, sent: Timestamp, alone: bool) -> InFlightAttempt {
+        InFlightAttempt {
             request: String::from_utf8_lossy(&self.request.id).into_owned(),
             digest: self.request.digest(),
             route: self.route.name.clone(),
--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gingerkeel_domain::crash_suspects::{
-    CanaryRoom, Caution, CrashFinding, CrashSuspects, GivenUpRequests, LeafEnd, RequestDigest,
-    Treatment, UnderWay, Verdict,
+    CanaryRoom, Caution, CrashFinding, CrashSuspects, GivenUpRequests, InFlightAttempt, LeafEnd,
+    RequestDigest, Treatment, Verdict,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::routes::{Destination, Route};
@@ -188,7 +188,7 @@
     }
 
     /// A request was given up while it was under way.
-    pub fn given_up(&self, under_way: UnderWay) {
+    pub fn given_up(&self, under_way: InFlightAttempt) {
         self.given_up.borrow_mut().add(self.clock.now(), under_way);
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// A leaf has ended under a request.
-    pub fn leaf_ended(&self, metrics: &RouteMetrics, end: &UnderWay) {
+    pub fn leaf_ended(&self, metrics: &RouteMetrics, end: &InFlightAttempt) {
         let now = self.clock.now();
         metrics.leaf_ended(&end.route);
         warn!(
--- a/crates/domain/src/crash_suspects/given_up.rs
+++ b/crates/domain/src/crash_suspects/given_up.rs
@@ -15,7 +15,7 @@
 
 /// A request that was under way at a leaf.
 #[derive(Debug, Clone)]
-pub struct UnderWay {
+pub struct InFlightAttempt {
     /// The request's id, as logs give it.
     pub request: String,
     /// What is the same in all tries of the request.
@@ -38,7 +38,7 @@
     at: Timestamp,
     /// Whether its leaf was looked at since.
     is_checked: bool,
-    under_way: UnderWay,
+    under_way: InFlightAttempt,
 }
 
 /// The requests that were given up lately.
@@ -49,7 +49,7 @@
 
 impl GivenUpRequests {
     /// A request was given up while it was under way.
-    pub fn add(&mut self, now: Timestamp, under_way: UnderWay) {
+    pub fn add(&mut self, now: Timestamp, under_way: InFlightAttempt) {
         self.forget(now);
         if self.kept.len() < MOST_GIVEN_UP {
             self.kept.push(GivenUp { at: now, is_checked: false, under_way });
@@ -67,7 +67,7 @@
     }
 
     /// What was given up at a leaf, which is not kept any more then.
-    pub fn take_at(&mut self, now: Timestamp, leaf: &LeafIdentity) -> Vec<UnderWay> {
+    pub fn take_at(&mut self, now: Timestamp, leaf: &LeafIdentity) -> Vec<InFlightAttempt> {
         self.forget(now);
         let (there, elsewhere) = std::mem::take(&mut self.kept)
             .into_iter()
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -4,7 +4,7 @@
 
 use gingerkeel_domain::crash_suspects::{
     CanaryGate, CanaryRoom, Caution, CrashFinding, CrashSuspects, FindingStore, GivenUpRequests,
-    LeafEnd, Permission, RequestDigest, Treatment, UnderWay, Verdict, is_survived,
+    InFlightAttempt, LeafEnd, Permission, RequestDigest, Treatment, Verdict, is_survived,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
 use gingerkeel_domain::time::Timestamp;
@@ -401,8 +401,8 @@
     assert_eq!(room.is_enough(Duration::from_millis(target_ms)), enough);
 }
 
-fn under_way(digest: RequestDigest, leaf: &str) -> UnderWay {
-    UnderWay {
+fn under_way(digest: RequestDigest, leaf: &str) -> InFlightAttempt {
+    InFlightAttempt {
         request: "r1".to_owned(),
         digest,
         route: ROUTE.to_owned(),
@@ -418,7 +418,7 @@
     let mut given_up = GivenUpRequests::default();
     given_up.add(at(1_000), under_way(CRASHING, "a"));
     given_up.add(at(1_100), under_way(HARMLESS, "b"));
-    let digests = |ended: Vec<UnderWay>| -> Vec<RequestDigest> {
+    let digests = |ended: Vec<InFlightAttempt>| -> Vec<RequestDigest> {
         ended.into_iter().map(|under_way| under_way.digest).collect()
     };
     assert_eq!(digests(given_up.take_at(at(1_999), &LeafIdentity::new("a"))), [CRASHING]);
