--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::crash_suspects::{
-    CanaryRoom, Caution, CrashFinding, CrashSuspects, GivenUpRequests, InFlightAttempt, LeafEnd,
+    AbandonedRequests, CanaryRoom, Caution, CrashFinding, CrashSuspects, InFlightAttempt, LeafEnd,
     RequestDigest, Treatment, Verdict,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
@@ -40,7 +40,7 @@
     canary_routes: RefCell<BTreeSet<String>>,
     findings: Tx<FoundCrash>,
     /// Requests that were given up lately: their leaves may end under them all the same.
-    given_up: RefCell<GivenUpRequests>,
+    given_up: RefCell<AbandonedRequests>,
     /// Requests that wait for a trial, by the number of the question.
     trials: RefCell<BTreeMap<u64, oneshot::Sender<bool>>>,
 }
--- a/crates/domain/src/crash_suspects/given_up.rs
+++ b/crates/domain/src/crash_suspects/given_up.rs
@@ -43,11 +43,11 @@
 
 /// The requests that were given up lately.
 #[derive(Debug, Default)]
-pub struct GivenUpRequests {
+pub struct AbandonedRequests {
     kept: Vec<GivenUp>,
 }
 
-impl GivenUpRequests {
+impl AbandonedRequests {
     /// A request was given up while it was under way.
     pub fn add(&mut self, now: Timestamp, under_way: InFlightAttempt) {
         self.forget(now);
--- a/crates/domain/src/crash_suspects/mod.rs
+++ b/crates/domain/src/crash_suspects/mod.rs
@@ -23,7 +23,7 @@
 pub use canary_gate::{CanaryGate, Caution, Permission};
 pub use canary_room::CanaryRoom;
 pub use fold::FindingStore;
-pub use given_up::{GivenUpRequests, InFlightAttempt};
+pub use given_up::{AbandonedRequests, InFlightAttempt};
 pub use suspects::{CrashSuspects, LeafEnd, Treatment};
 
 /// Time for which a request stays refused of which nothing more is heard.
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::crash_suspects::{
-    CanaryGate, CanaryRoom, Caution, CrashFinding, CrashSuspects, FindingStore, GivenUpRequests,
+    AbandonedRequests, CanaryGate, CanaryRoom, Caution, CrashFinding, CrashSuspects, FindingStore,
     InFlightAttempt, LeafEnd, Permission, RequestDigest, Treatment, Verdict, is_survived,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
@@ -415,7 +415,7 @@
 
 #[test]
 fn what_was_given_up_at_a_leaf_is_kept_for_a_second() {
-    let mut given_up = GivenUpRequests::default();
+    let mut given_up = AbandonedRequests::default();
     given_up.add(at(1_000), under_way(CRASHING, "a"));
     given_up.add(at(1_100), under_way(HARMLESS, "b"));
     let digests = |ended: Vec<InFlightAttempt>| -> Vec<RequestDigest> {
@@ -428,7 +428,7 @@
 
 #[test]
 fn a_leaf_at_which_requests_were_given_up_is_looked_at_once() {
-    let mut given_up = GivenUpRequests::default();
+    let mut given_up = AbandonedRequests::default();
     (0..300).for_each(|_| given_up.add(at(1_000), under_way(CRASHING, "a")));
     assert_eq!(given_up.take_unchecked().len(), 1);
     assert!(given_up.take_unchecked().is_empty());
