--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gingerkeel_domain::crash_suspects::{
-    AbandonedRequests, CanaryRoom, Caution, CrashFinding, CrashSuspects, InFlightAttempt, LeafEnd,
-    RequestDigest, Treatment, Verdict,
+    AbandonedRequests, CanaryHeadroom, Caution, CrashFinding, CrashSuspects, InFlightAttempt,
+    LeafEnd, RequestDigest, Treatment, Verdict,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::routes::{Destination, Route};
@@ -35,7 +35,7 @@
     clock: Clock,
     suspects: RefCell<CrashSuspects>,
     /// What the answers of each route to many shards usually take.
-    rooms: RefCell<BTreeMap<String, CanaryRoom>>,
+    rooms: RefCell<BTreeMap<String, CanaryHeadroom>>,
     /// Routes whose requests all go to few leaves first, however long they take.
     canary_routes: RefCell<BTreeSet<String>>,
     findings: Tx<FoundCrash>,
@@ -68,7 +68,7 @@
         };
         let target = Duration::from_millis(route.target_latency_ms);
         let rooms = self.rooms.borrow();
-        let unknown = CanaryRoom::default();
+        let unknown = CanaryHeadroom::default();
         match rooms.get(&route.name).unwrap_or(&unknown).is_enough(target) {
             true => Caution::Canary,
             false => Caution::None,
@@ -79,7 +79,7 @@
     pub fn gathered(&self, route: &Route, took: Duration) {
         let mut rooms = self.rooms.borrow_mut();
         if !rooms.contains_key(&route.name) {
-            rooms.insert(route.name.clone(), CanaryRoom::default());
+            rooms.insert(route.name.clone(), CanaryHeadroom::default());
         }
         if let Some(room) = rooms.get_mut(&route.name) {
             room.observe(took);
--- a/crates/domain/src/crash_suspects/canary_room.rs
+++ b/crates/domain/src/crash_suspects/canary_room.rs
@@ -14,12 +14,12 @@
 
 /// What the answers of one route take from when all leaves are asked.
 #[derive(Debug, Default)]
-pub struct CanaryRoom {
+pub struct CanaryHeadroom {
     /// About their median, in seconds; none before the first.
     median: Option<f64>,
 }
 
-impl CanaryRoom {
+impl CanaryHeadroom {
     /// An answer was complete enough to leave so long after all its leaves had been asked.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
--- a/crates/domain/src/crash_suspects/mod.rs
+++ b/crates/domain/src/crash_suspects/mod.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use canary_gate::{CanaryGate, Caution, Permission};
-pub use canary_room::CanaryRoom;
+pub use canary_room::CanaryHeadroom;
 pub use fold::FindingStore;
 pub use given_up::{AbandonedRequests, InFlightAttempt};
 pub use suspects::{CrashSuspects, LeafEnd, Treatment};
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use gingerkeel_domain::crash_suspects::{
-    AbandonedRequests, CanaryGate, CanaryRoom, Caution, CrashFinding, CrashSuspects, FindingStore,
-    InFlightAttempt, LeafEnd, Permission, RequestDigest, Treatment, Verdict, is_survived,
+    AbandonedRequests, CanaryGate, CanaryHeadroom, Caution, CrashFinding, CrashSuspects,
+    FindingStore, InFlightAttempt, LeafEnd, Permission, RequestDigest, Treatment, Verdict,
+    is_survived,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
 use gingerkeel_domain::time::Timestamp;
@@ -396,7 +397,7 @@
     #[case] took_ms: &[u64],
     #[case] enough: bool,
 ) {
-    let mut room = CanaryRoom::default();
+    let mut room = CanaryHeadroom::default();
     took_ms.iter().for_each(|took| room.observe(Duration::from_millis(*took)));
     assert_eq!(room.is_enough(Duration::from_millis(target_ms)), enough);
 }
