--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -6,7 +6,7 @@
 
 use gingerkeel_domain::crash_suspects::{
     AbandonedRequests, CanaryHeadroom, Caution, CrashFinding, CrashSuspects, InFlightAttempt,
-    LeafEnd, RequestDigest, Treatment, Verdict,
+    LeafEnd, RequestDigest, SendPolicy, Verdict,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::routes::{Destination, Route};
@@ -90,7 +90,7 @@
     pub fn refused_for(&self, route: &Route, request: &ForwardedRequest) -> Option<Duration> {
         let now = self.clock.now();
         match self.treatment(now, route, request) {
-            Treatment::Refused { until } => Some(until.since(now).min(LONGEST_WAIT)),
+            SendPolicy::Refused { until } => Some(until.since(now).min(LONGEST_WAIT)),
             _ => None,
         }
     }
@@ -108,19 +108,19 @@
     ) -> Result<Caution, Duration> {
         let now = self.clock.now();
         match self.treatment(now, route, request) {
-            Treatment::Usual => Ok(usual),
-            Treatment::Canary => Ok(Caution::Canary),
-            Treatment::Suspected => Ok(Caution::OneAtATime),
-            Treatment::Refused { until } => Err(until.since(now).min(LONGEST_WAIT)),
-            Treatment::TrialDue if self.is_trial_granted(request).await => Ok(Caution::Trial),
-            Treatment::TrialDue => Err(self.refused_for(route, request).unwrap_or(TRIAL_PAUSE)),
+            SendPolicy::Usual => Ok(usual),
+            SendPolicy::Canary => Ok(Caution::Canary),
+            SendPolicy::Suspected => Ok(Caution::OneAtATime),
+            SendPolicy::Refused { until } => Err(until.since(now).min(LONGEST_WAIT)),
+            SendPolicy::TrialDue if self.is_trial_granted(request).await => Ok(Caution::Trial),
+            SendPolicy::TrialDue => Err(self.refused_for(route, request).unwrap_or(TRIAL_PAUSE)),
         }
     }
 
-    fn treatment(&self, now: Timestamp, route: &Route, request: &ForwardedRequest) -> Treatment {
+    fn treatment(&self, now: Timestamp, route: &Route, request: &ForwardedRequest) -> SendPolicy {
         let look =
             |suspects: &mut CrashSuspects, digest| suspects.treatment(now, &route.name, digest);
-        self.look_at(request, look).unwrap_or(Treatment::Usual)
+        self.look_at(request, look).unwrap_or(SendPolicy::Usual)
     }
 
     /// Looks at what is held of a request; none while nothing is held of any: a digest takes time, and no request pays
--- a/crates/domain/src/crash_suspects/mod.rs
+++ b/crates/domain/src/crash_suspects/mod.rs
@@ -24,7 +24,7 @@
 pub use canary_room::CanaryHeadroom;
 pub use fold::FindingStore;
 pub use given_up::{AbandonedRequests, InFlightAttempt};
-pub use suspects::{CrashSuspects, LeafEnd, Treatment};
+pub use suspects::{CrashSuspects, LeafEnd, SendPolicy};
 
 /// Time for which a request stays refused of which nothing more is heard.
 pub const REFUSAL_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
--- a/crates/domain/src/crash_suspects/suspects.rs
+++ b/crates/domain/src/crash_suspects/suspects.rs
@@ -34,7 +34,7 @@
 
 /// How a request is to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Treatment {
+pub enum SendPolicy {
     /// As ever.
     Usual,
     /// Requests of its route have crashed leaves lately: to few leaves first.
@@ -99,15 +99,15 @@
     }
 
     /// How a request of a route is to be sent.
-    pub fn treatment(&self, now: Timestamp, route: &str, digest: RequestDigest) -> Treatment {
+    pub fn treatment(&self, now: Timestamp, route: &str, digest: RequestDigest) -> SendPolicy {
         match self.suspects.get(&digest).filter(|suspect| now < suspect.forgotten_at) {
             Some(Suspect { refusal: Some((until, _)), .. }) if now < *until => {
-                Treatment::Refused { until: *until }
+                SendPolicy::Refused { until: *until }
             }
-            Some(Suspect { refusal: Some(_), .. }) => Treatment::TrialDue,
-            Some(_) => Treatment::Suspected,
-            None if self.sends_canaries(now, route) => Treatment::Canary,
-            None => Treatment::Usual,
+            Some(Suspect { refusal: Some(_), .. }) => SendPolicy::TrialDue,
+            Some(_) => SendPolicy::Suspected,
+            None if self.sends_canaries(now, route) => SendPolicy::Canary,
+            None => SendPolicy::Usual,
         }
     }
 
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -4,7 +4,7 @@
 
 use gingerkeel_domain::crash_suspects::{
     AbandonedRequests, CanaryGate, CanaryHeadroom, Caution, CrashFinding, CrashSuspects,
-    FindingStore, InFlightAttempt, LeafEnd, Permission, RequestDigest, Treatment, Verdict,
+    FindingStore, InFlightAttempt, LeafEnd, Permission, RequestDigest, SendPolicy, Verdict,
     is_survived,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
@@ -20,7 +20,7 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-fn treatment(suspects: &CrashSuspects, now: u64, digest: RequestDigest) -> Treatment {
+fn treatment(suspects: &CrashSuspects, now: u64, digest: RequestDigest) -> SendPolicy {
     suspects.treatment(at(now), ROUTE, digest)
 }
 
@@ -54,7 +54,7 @@
 fn nothing_is_held_of_a_request_under_which_no_leaf_ended() {
     let suspects = CrashSuspects::default();
     assert!(suspects.is_empty());
-    assert_eq!(treatment(&suspects, 0, CRASHING), Treatment::Usual);
+    assert_eq!(treatment(&suspects, 0, CRASHING), SendPolicy::Usual);
 }
 
 #[test]
@@ -62,9 +62,9 @@
     let (suspects, found) = refused(1_000);
     assert_eq!((found.verdict, found.leaves, found.for_ms), (Verdict::Refused, 2, 30_000));
     let until = at(1_030).after(FIRST_REFUSAL);
-    assert_eq!(treatment(&suspects, 1_040, CRASHING), Treatment::Refused { until });
+    assert_eq!(treatment(&suspects, 1_040, CRASHING), SendPolicy::Refused { until });
     assert!(suspects.is_refused(at(1_040), CRASHING));
-    assert_eq!(treatment(&suspects, 1_040, HARMLESS), Treatment::Usual);
+    assert_eq!(treatment(&suspects, 1_040, HARMLESS), SendPolicy::Usual);
 }
 
 /// The second end of each is not enough.
@@ -76,7 +76,7 @@
     let mut suspects = CrashSuspects::default();
     end(&mut suspects, 1_000, CRASHING, "a", 980, true);
     end(&mut suspects, 1_030, CRASHING, leaf, sent, alone);
-    assert_eq!(treatment(&suspects, 1_040, CRASHING), Treatment::Suspected);
+    assert_eq!(treatment(&suspects, 1_040, CRASHING), SendPolicy::Suspected);
 }
 
 #[test]
@@ -88,12 +88,12 @@
         end(&mut suspects, now, CRASHING, leaf, 980, false);
         end(&mut suspects, now, HARMLESS, leaf, 990, false);
     }
-    assert_eq!(treatment(&suspects, 1_010, HARMLESS), Treatment::Suspected);
+    assert_eq!(treatment(&suspects, 1_010, HARMLESS), SendPolicy::Suspected);
     assert_eq!(suspects.replied(HARMLESS).map(|held| held.verdict), Some(Verdict::Suspected));
-    assert_ne!(treatment(&suspects, 1_040, HARMLESS), Treatment::Suspected);
+    assert_ne!(treatment(&suspects, 1_040, HARMLESS), SendPolicy::Suspected);
     let found = end(&mut suspects, 1_050, CRASHING, "e", 1_010, true).expect("a finding");
     assert_eq!((found.verdict, found.leaves), (Verdict::Refused, 5));
-    assert_eq!(treatment(&suspects, 1_060, HARMLESS), Treatment::Usual);
+    assert_eq!(treatment(&suspects, 1_060, HARMLESS), SendPolicy::Usual);
 }
 
 #[test]
@@ -126,12 +126,12 @@
     let (mut suspects, _) = refused(1_000);
     let after = 1_030 + FIRST_REFUSAL.as_millis() as u64;
     for now in [after, after + 60_000, after + 20 * 3_600_000] {
-        assert_eq!(treatment(&suspects, now, CRASHING), Treatment::TrialDue);
+        assert_eq!(treatment(&suspects, now, CRASHING), SendPolicy::TrialDue);
         assert!(suspects.is_refused(at(now), CRASHING));
     }
     let cleared = suspects.replied(CRASHING).expect("it was refused");
     assert_eq!(cleared.verdict, Verdict::Cleared);
-    assert_eq!(treatment(&suspects, after + 1, CRASHING), Treatment::Usual);
+    assert_eq!(treatment(&suspects, after + 1, CRASHING), SendPolicy::Usual);
 }
 
 #[test]
@@ -144,9 +144,9 @@
     assert!(suspects.recorded(at(1_050), &[finding(Verdict::Refused, 300_000)], false));
     assert_eq!(suspects.unrecorded(at(1_050)), []);
     let until = at(301_050);
-    assert_eq!(treatment(&suspects, 1_051, CRASHING), Treatment::Refused { until });
+    assert_eq!(treatment(&suspects, 1_051, CRASHING), SendPolicy::Refused { until });
     assert!(suspects.recorded(at(2_000), &[], true), "it was released while no link was up");
-    assert_eq!(treatment(&suspects, 2_001, CRASHING), Treatment::Usual);
+    assert_eq!(treatment(&suspects, 2_001, CRASHING), SendPolicy::Usual);
 }
 
 #[test]
@@ -155,7 +155,7 @@
     suspects.recorded(at(1_000), &[finding(Verdict::Refused, u32::MAX)], true);
     assert!(suspects.is_refused(at(80_000_000), CRASHING));
     assert!(suspects.recorded(at(80_000_001), &[finding(Verdict::Cleared, 0)], false));
-    assert_eq!(treatment(&suspects, 80_000_002, CRASHING), Treatment::Usual);
+    assert_eq!(treatment(&suspects, 80_000_002, CRASHING), SendPolicy::Usual);
 }
 
 #[test]
@@ -185,8 +185,8 @@
 fn a_suspicion_ends_by_itself() {
     let mut suspects = CrashSuspects::default();
     end(&mut suspects, 1_000, CRASHING, "a", 980, false);
-    assert_eq!(treatment(&suspects, 60_999, CRASHING), Treatment::Suspected);
-    assert_eq!(treatment(&suspects, 61_000, CRASHING), Treatment::Usual);
+    assert_eq!(treatment(&suspects, 60_999, CRASHING), SendPolicy::Suspected);
+    assert_eq!(treatment(&suspects, 61_000, CRASHING), SendPolicy::Usual);
     suspects.canary_routes(at(61_000));
     assert!(suspects.is_empty());
 }
@@ -195,11 +195,11 @@
 fn what_others_found_counts_until_its_end() {
     let mut suspects = CrashSuspects::default();
     assert!(suspects.told(at(1_000), &finding(Verdict::Suspected, 60_000)));
-    assert_eq!(treatment(&suspects, 1_001, CRASHING), Treatment::Suspected);
+    assert_eq!(treatment(&suspects, 1_001, CRASHING), SendPolicy::Suspected);
     assert!(suspects.told(at(1_100), &finding(Verdict::Refused, 10_000)));
-    assert!(matches!(treatment(&suspects, 11_099, CRASHING), Treatment::Refused { .. }));
+    assert!(matches!(treatment(&suspects, 11_099, CRASHING), SendPolicy::Refused { .. }));
     assert!(!suspects.told(at(1_110), &finding(Verdict::Refused, 10_000)), "no news");
-    assert_eq!(treatment(&suspects, 11_100, CRASHING), Treatment::TrialDue);
+    assert_eq!(treatment(&suspects, 11_100, CRASHING), SendPolicy::TrialDue);
 }
 
 #[test]
@@ -223,9 +223,9 @@
         end(&mut suspects, 1_000, digest, "a", 980, false);
         end(&mut suspects, 1_030, digest, "b", 1_010, true).expect("a refusal");
     }
-    let expected = if canaries { Treatment::Canary } else { Treatment::Usual };
+    let expected = if canaries { SendPolicy::Canary } else { SendPolicy::Usual };
     assert_eq!(treatment(&suspects, 1_040, HARMLESS), expected);
-    assert_eq!(suspects.treatment(at(1_040), "other", HARMLESS), Treatment::Usual);
+    assert_eq!(suspects.treatment(at(1_040), "other", HARMLESS), SendPolicy::Usual);
     assert_eq!(suspects.canary_routes(at(1_040)).contains(ROUTE), canaries);
     assert!(suspects.canary_routes(at(92_000)).is_empty(), "it ends by itself");
 }
@@ -236,9 +236,9 @@
     end(&mut suspects, 1_000, HARMLESS, "a", 980, false);
     end(&mut suspects, 1_001, HARMLESS, "b", 980, false);
     suspects.replied(HARMLESS);
-    assert_eq!(treatment(&suspects, 1_100, CRASHING), Treatment::Canary);
+    assert_eq!(treatment(&suspects, 1_100, CRASHING), SendPolicy::Canary);
     suspects.told(at(1_200), &finding(Verdict::Refused, 10_000));
-    assert_eq!(treatment(&suspects, 1_201, HARMLESS), Treatment::Usual, "it is known which one");
+    assert_eq!(treatment(&suspects, 1_201, HARMLESS), SendPolicy::Usual, "it is known which one");
 }
 
 #[test]
@@ -247,8 +247,8 @@
     for number in 0..2_000 {
         end(&mut suspects, 1_000 + number, RequestDigest(number), "a", 900, true);
     }
-    assert_eq!(treatment(&suspects, 3_000, RequestDigest(0)), Treatment::Usual);
-    assert_eq!(treatment(&suspects, 3_000, RequestDigest(1_999)), Treatment::Suspected);
+    assert_eq!(treatment(&suspects, 3_000, RequestDigest(0)), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 3_000, RequestDigest(1_999)), SendPolicy::Suspected);
 }
 
 /// To how many leaves a gate lets a request go before any has replied or ended.
--- a/crates/domain/tests/refused_requests.rs
+++ b/crates/domain/tests/refused_requests.rs
@@ -8,7 +8,7 @@
     LogIndex, WallTime,
 };
 use gingerkeel_domain::crash_suspects::{
-    CrashFinding, CrashSuspects, LeafEnd, RequestDigest, Treatment, Verdict,
+    CrashFinding, CrashSuspects, LeafEnd, RequestDigest, SendPolicy, Verdict,
 };
 use gingerkeel_domain::identifiers::{BrokerName, LeafIdentity, SessionName};
 use gingerkeel_domain::time::Timestamp;
@@ -183,17 +183,17 @@
     fn request(&mut self, now: u64, broker: usize) {
         self.hear(now);
         match self.brokers[broker].treatment(at(now), ROUTE, CRASHING) {
-            Treatment::Refused { .. } => {}
-            Treatment::TrialDue => {
+            SendPolicy::Refused { .. } => {}
+            SendPolicy::TrialDue => {
                 let held = self.brokers[broker].refusal(at(now), CRASHING).expect("a refusal");
                 if self.log.grant(now, held) {
                     self.end_leaf(now, broker, true);
                 }
                 self.tell_all(now);
             }
-            Treatment::Suspected => self.end_leaf(now, broker, true),
+            SendPolicy::Suspected => self.end_leaf(now, broker, true),
             // Two canaries, and then one leaf alone.
-            Treatment::Usual | Treatment::Canary => {
+            SendPolicy::Usual | SendPolicy::Canary => {
                 self.end_leaf(now, broker, false);
                 self.end_leaf(now, broker, false);
                 self.end_leaf(now + 1, broker, true);
