--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -108,7 +108,7 @@
     ) -> Result<Caution, Duration> {
         let now = self.clock.now();
         match self.treatment(now, route, request) {
-            SendPolicy::Usual => Ok(usual),
+            SendPolicy::Unrestricted => Ok(usual),
             SendPolicy::Canary => Ok(Caution::Canary),
             SendPolicy::Suspected => Ok(Caution::OneAtATime),
             SendPolicy::Refused { until } => Err(until.since(now).min(LONGEST_WAIT)),
@@ -120,7 +120,7 @@
     fn treatment(&self, now: Timestamp, route: &Route, request: &ForwardedRequest) -> SendPolicy {
         let look =
             |suspects: &mut CrashSuspects, digest| suspects.treatment(now, &route.name, digest);
-        self.look_at(request, look).unwrap_or(SendPolicy::Usual)
+        self.look_at(request, look).unwrap_or(SendPolicy::Unrestricted)
     }
 
     /// Looks at what is held of a request; none while nothing is held of any: a digest takes time, and no request pays
--- a/crates/domain/src/crash_suspects/suspects.rs
+++ b/crates/domain/src/crash_suspects/suspects.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendPolicy {
     /// As ever.
-    Usual,
+    Unrestricted,
     /// Requests of its route have crashed leaves lately: to few leaves first.
     Canary,
     /// Leaves have ended under it: to one leaf at a time.
@@ -107,7 +107,7 @@
             Some(Suspect { refusal: Some(_), .. }) => SendPolicy::TrialDue,
             Some(_) => SendPolicy::Suspected,
             None if self.sends_canaries(now, route) => SendPolicy::Canary,
-            None => SendPolicy::Usual,
+            None => SendPolicy::Unrestricted,
         }
     }
 
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -54,7 +54,7 @@
 fn nothing_is_held_of_a_request_under_which_no_leaf_ended() {
     let suspects = CrashSuspects::default();
     assert!(suspects.is_empty());
-    assert_eq!(treatment(&suspects, 0, CRASHING), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 0, CRASHING), SendPolicy::Unrestricted);
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let until = at(1_030).after(FIRST_REFUSAL);
     assert_eq!(treatment(&suspects, 1_040, CRASHING), SendPolicy::Refused { until });
     assert!(suspects.is_refused(at(1_040), CRASHING));
-    assert_eq!(treatment(&suspects, 1_040, HARMLESS), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 1_040, HARMLESS), SendPolicy::Unrestricted);
 }
 
 /// The second end of each is not enough.
@@ -93,7 +93,7 @@
     assert_ne!(treatment(&suspects, 1_040, HARMLESS), SendPolicy::Suspected);
     let found = end(&mut suspects, 1_050, CRASHING, "e", 1_010, true).expect("a finding");
     assert_eq!((found.verdict, found.leaves), (Verdict::Refused, 5));
-    assert_eq!(treatment(&suspects, 1_060, HARMLESS), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 1_060, HARMLESS), SendPolicy::Unrestricted);
 }
 
 #[test]
@@ -131,7 +131,7 @@
     }
     let cleared = suspects.replied(CRASHING).expect("it was refused");
     assert_eq!(cleared.verdict, Verdict::Cleared);
-    assert_eq!(treatment(&suspects, after + 1, CRASHING), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, after + 1, CRASHING), SendPolicy::Unrestricted);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     let until = at(301_050);
     assert_eq!(treatment(&suspects, 1_051, CRASHING), SendPolicy::Refused { until });
     assert!(suspects.recorded(at(2_000), &[], true), "it was released while no link was up");
-    assert_eq!(treatment(&suspects, 2_001, CRASHING), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 2_001, CRASHING), SendPolicy::Unrestricted);
 }
 
 #[test]
@@ -155,7 +155,7 @@
     suspects.recorded(at(1_000), &[finding(Verdict::Refused, u32::MAX)], true);
     assert!(suspects.is_refused(at(80_000_000), CRASHING));
     assert!(suspects.recorded(at(80_000_001), &[finding(Verdict::Cleared, 0)], false));
-    assert_eq!(treatment(&suspects, 80_000_002, CRASHING), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 80_000_002, CRASHING), SendPolicy::Unrestricted);
 }
 
 #[test]
@@ -186,7 +186,7 @@
     let mut suspects = CrashSuspects::default();
     end(&mut suspects, 1_000, CRASHING, "a", 980, false);
     assert_eq!(treatment(&suspects, 60_999, CRASHING), SendPolicy::Suspected);
-    assert_eq!(treatment(&suspects, 61_000, CRASHING), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 61_000, CRASHING), SendPolicy::Unrestricted);
     suspects.canary_routes(at(61_000));
     assert!(suspects.is_empty());
 }
@@ -223,9 +223,9 @@
         end(&mut suspects, 1_000, digest, "a", 980, false);
         end(&mut suspects, 1_030, digest, "b", 1_010, true).expect("a refusal");
     }
-    let expected = if canaries { SendPolicy::Canary } else { SendPolicy::Usual };
+    let expected = if canaries { SendPolicy::Canary } else { SendPolicy::Unrestricted };
     assert_eq!(treatment(&suspects, 1_040, HARMLESS), expected);
-    assert_eq!(suspects.treatment(at(1_040), "other", HARMLESS), SendPolicy::Usual);
+    assert_eq!(suspects.treatment(at(1_040), "other", HARMLESS), SendPolicy::Unrestricted);
     assert_eq!(suspects.canary_routes(at(1_040)).contains(ROUTE), canaries);
     assert!(suspects.canary_routes(at(92_000)).is_empty(), "it ends by itself");
 }
@@ -238,7 +238,11 @@
     suspects.replied(HARMLESS);
     assert_eq!(treatment(&suspects, 1_100, CRASHING), SendPolicy::Canary);
     suspects.told(at(1_200), &finding(Verdict::Refused, 10_000));
-    assert_eq!(treatment(&suspects, 1_201, HARMLESS), SendPolicy::Usual, "it is known which one");
+    assert_eq!(
+        treatment(&suspects, 1_201, HARMLESS),
+        SendPolicy::Unrestricted,
+        "it is known which one"
+    );
 }
 
 #[test]
@@ -247,7 +251,7 @@
     for number in 0..2_000 {
         end(&mut suspects, 1_000 + number, RequestDigest(number), "a", 900, true);
     }
-    assert_eq!(treatment(&suspects, 3_000, RequestDigest(0)), SendPolicy::Usual);
+    assert_eq!(treatment(&suspects, 3_000, RequestDigest(0)), SendPolicy::Unrestricted);
     assert_eq!(treatment(&suspects, 3_000, RequestDigest(1_999)), SendPolicy::Suspected);
 }
 
--- a/crates/domain/tests/refused_requests.rs
+++ b/crates/domain/tests/refused_requests.rs
@@ -193,7 +193,7 @@
             }
             SendPolicy::Suspected => self.end_leaf(now, broker, true),
             // Two canaries, and then one leaf alone.
-            SendPolicy::Usual | SendPolicy::Canary => {
+            SendPolicy::Unrestricted | SendPolicy::Canary => {
                 self.end_leaf(now, broker, false);
                 self.end_leaf(now, broker, false);
                 self.end_leaf(now + 1, broker, true);
