--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -119,7 +119,7 @@
 
     fn treatment(&self, now: Timestamp, route: &Route, request: &ForwardedRequest) -> SendPolicy {
         let look =
-            |suspects: &mut CrashSuspects, digest| suspects.treatment(now, &route.name, digest);
+            |suspects: &mut CrashSuspects, digest| suspects.send_policy(now, &route.name, digest);
         self.look_at(request, look).unwrap_or(SendPolicy::Unrestricted)
     }
 
--- a/crates/domain/src/crash_suspects/suspects.rs
+++ b/crates/domain/src/crash_suspects/suspects.rs
@@ -99,7 +99,7 @@
     }
 
     /// How a request of a route is to be sent.
-    pub fn treatment(&self, now: Timestamp, route: &str, digest: RequestDigest) -> SendPolicy {
+    pub fn send_policy(&self, now: Timestamp, route: &str, digest: RequestDigest) -> SendPolicy {
         match self.suspects.get(&digest).filter(|suspect| now < suspect.forgotten_at) {
             Some(Suspect { refusal: Some((until, _)), .. }) if now < *until => {
                 SendPolicy::Refused { until: *until }
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -21,7 +21,7 @@
 }
 
 fn treatment(suspects: &CrashSuspects, now: u64, digest: RequestDigest) -> SendPolicy {
-    suspects.treatment(at(now), ROUTE, digest)
+    suspects.send_policy(at(now), ROUTE, digest)
 }
 
 /// A leaf ended at `now` under a request that was sent to it at `sent`.
@@ -225,7 +225,7 @@
     }
     let expected = if canaries { SendPolicy::Canary } else { SendPolicy::Unrestricted };
     assert_eq!(treatment(&suspects, 1_040, HARMLESS), expected);
-    assert_eq!(suspects.treatment(at(1_040), "other", HARMLESS), SendPolicy::Unrestricted);
+    assert_eq!(suspects.send_policy(at(1_040), "other", HARMLESS), SendPolicy::Unrestricted);
     assert_eq!(suspects.canary_routes(at(1_040)).contains(ROUTE), canaries);
     assert!(suspects.canary_routes(at(92_000)).is_empty(), "it ends by itself");
 }
--- a/crates/domain/tests/refused_requests.rs
+++ b/crates/domain/tests/refused_requests.rs
@@ -182,7 +182,7 @@
     /// The request comes to a broker.
     fn request(&mut self, now: u64, broker: usize) {
         self.hear(now);
-        match self.brokers[broker].treatment(at(now), ROUTE, CRASHING) {
+        match self.brokers[broker].send_policy(at(now), ROUTE, CRASHING) {
             SendPolicy::Refused { .. } => {}
             SendPolicy::TrialDue => {
                 let held = self.brokers[broker].refusal(at(now), CRASHING).expect("a refusal");
