--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -245,7 +245,7 @@
     pub fn told(&self, findings: &[CrashFinding]) {
         let now = self.clock.now();
         for finding in findings {
-            if self.suspects.borrow_mut().told(now, finding) {
+            if self.suspects.borrow_mut().apply_finding(now, finding) {
                 log_finding(finding, "told");
             }
         }
--- a/crates/domain/src/crash_suspects/suspects.rs
+++ b/crates/domain/src/crash_suspects/suspects.rs
@@ -198,7 +198,7 @@
     }
 
     /// Another broker's finding; gives whether it is news.
-    pub fn told(&mut self, now: Timestamp, finding: &CrashFinding) -> bool {
+    pub fn apply_finding(&mut self, now: Timestamp, finding: &CrashFinding) -> bool {
         self.forget(now);
         self.make_room(finding.digest);
         let life = Duration::from_millis(finding.for_ms.into());
@@ -231,7 +231,7 @@
             is_news = self.suspects.len() < before;
         }
         for finding in findings {
-            is_news |= self.told(now, finding);
+            is_news |= self.apply_finding(now, finding);
             if let Some(suspect) = self.suspects.get_mut(&finding.digest) {
                 let life = Duration::from_millis(finding.for_ms.into());
                 suspect.refuse_for(now, life);
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -194,18 +194,18 @@
 #[test]
 fn what_others_found_counts_until_its_end() {
     let mut suspects = CrashSuspects::default();
-    assert!(suspects.told(at(1_000), &finding(Verdict::Suspected, 60_000)));
+    assert!(suspects.apply_finding(at(1_000), &finding(Verdict::Suspected, 60_000)));
     assert_eq!(treatment(&suspects, 1_001, CRASHING), SendPolicy::Suspected);
-    assert!(suspects.told(at(1_100), &finding(Verdict::Refused, 10_000)));
+    assert!(suspects.apply_finding(at(1_100), &finding(Verdict::Refused, 10_000)));
     assert!(matches!(treatment(&suspects, 11_099, CRASHING), SendPolicy::Refused { .. }));
-    assert!(!suspects.told(at(1_110), &finding(Verdict::Refused, 10_000)), "no news");
+    assert!(!suspects.apply_finding(at(1_110), &finding(Verdict::Refused, 10_000)), "no news");
     assert_eq!(treatment(&suspects, 11_100, CRASHING), SendPolicy::TrialDue);
 }
 
 #[test]
 fn one_leaf_more_is_enough_where_others_suspect_a_request() {
     let mut suspects = CrashSuspects::default();
-    suspects.told(at(1_000), &finding(Verdict::Suspected, 60_000));
+    suspects.apply_finding(at(1_000), &finding(Verdict::Suspected, 60_000));
     let found = end(&mut suspects, 1_100, CRASHING, "z", 1_050, true).expect("a finding");
     assert_eq!((found.verdict, found.leaves), (Verdict::Refused, 3));
 }
@@ -237,7 +237,7 @@
     end(&mut suspects, 1_001, HARMLESS, "b", 980, false);
     suspects.replied(HARMLESS);
     assert_eq!(treatment(&suspects, 1_100, CRASHING), SendPolicy::Canary);
-    suspects.told(at(1_200), &finding(Verdict::Refused, 10_000));
+    suspects.apply_finding(at(1_200), &finding(Verdict::Refused, 10_000));
     assert_eq!(
         treatment(&suspects, 1_201, HARMLESS),
         SendPolicy::Unrestricted,
