--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -308,7 +308,7 @@
         if ended.outcome.as_ref().is_ok_and(|reply| is_survived(reply.head.status)) {
             gate.replied();
             self.state.crashes.replied(self.request);
-        } else if ended.fate.has_ended(gate.most_open() == Some(1)) {
+        } else if ended.fate.has_ended(gate.in_flight_limit() == Some(1)) {
             let alone = gate.leaf_ended();
             let end = self.under_way(&ended.leaf, ended.sent, alone);
             self.state.crashes.leaf_ended(&self.state.metrics, &end);
--- a/crates/domain/src/crash_suspects/canary_gate.rs
+++ b/crates/domain/src/crash_suspects/canary_gate.rs
@@ -75,7 +75,7 @@
     }
 
     /// At how many leaves it may be under way now; none for any number.
-    pub fn most_open(&self) -> Option<usize> {
+    pub fn in_flight_limit(&self) -> Option<usize> {
         match self.caution {
             _ if self.replied => None,
             Caution::None => None,
@@ -86,7 +86,7 @@
 
     /// How many leaves more it may go to now; none for any number.
     pub fn room(&self) -> Option<usize> {
-        Some(self.most_open()?.saturating_sub(self.open))
+        Some(self.in_flight_limit()?.saturating_sub(self.open))
     }
 
     /// Whether it may be sent to one more leaf.
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -274,7 +274,7 @@
     assert_eq!(first_leaves(&mut gate), leaves);
     gate.replied();
     assert_eq!(gate.permission(), Permission::Send, "the first reply lets all others go");
-    assert_eq!(gate.most_open(), None);
+    assert_eq!(gate.in_flight_limit(), None);
 }
 
 /// A leaf that refuses a trial may have counted it as one that reached it.
@@ -337,7 +337,7 @@
         gate.over()
     }
     assert_eq!(gate.permission(), Permission::Send);
-    assert_eq!(gate.most_open().is_none(), replied);
+    assert_eq!(gate.in_flight_limit().is_none(), replied);
     gate.refuse();
     let refused = gate.permission() == Permission::Never;
     assert_eq!(refused, !replied, "a request that was answered is not refused halfway");
