--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -108,7 +108,7 @@
 
     /// The leaves that were asked first take longer than usual.
     pub fn canaries_are_late(&self) {
-        self.gate.borrow_mut().canaries_are_late();
+        self.gate.borrow_mut().allow_extra_canary();
     }
 
     /// Whether leaves have ended under the request, and none has replied.
--- a/crates/domain/src/crash_suspects/canary_gate.rs
+++ b/crates/domain/src/crash_suspects/canary_gate.rs
@@ -101,7 +101,7 @@
 
     /// The leaves that it went to first have had the time that leaves usually need: it goes to one more. All at
     /// once would do most harm where leaves crash slowly.
-    pub fn canaries_are_late(&mut self) {
+    pub fn allow_extra_canary(&mut self) {
         self.canaries += 1;
     }
 
--- a/crates/domain/tests/crash_suspects.rs
+++ b/crates/domain/tests/crash_suspects.rs
@@ -285,7 +285,7 @@
     let mut gate = CanaryGate::new(Caution::Trial);
     assert_eq!(first_leaves(&mut gate), 1);
     outcome(&mut gate);
-    gate.canaries_are_late();
+    gate.allow_extra_canary();
     assert_eq!(gate.permission(), Permission::Never);
 }
 
@@ -301,11 +301,11 @@
 fn late_canaries_let_one_more_go() {
     let mut gate = CanaryGate::new(Caution::Canary);
     first_leaves(&mut gate);
-    gate.canaries_are_late();
+    gate.allow_extra_canary();
     assert_eq!(first_leaves(&mut gate), 1);
     let mut suspected = CanaryGate::new(Caution::OneAtATime);
     first_leaves(&mut suspected);
-    suspected.canaries_are_late();
+    suspected.allow_extra_canary();
     assert_eq!(suspected.permission(), Permission::Wait);
 }
 
