--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -84,7 +84,7 @@
 
     /// For how many more parts leaves may be asked now; none for all of them.
     pub fn room(&self) -> Option<usize> {
-        self.gate.borrow().room()
+        self.gate.borrow().available()
     }
 
     /// So many parts have asked no leaf yet, and do once there is room.
--- a/crates/domain/src/crash_suspects/canary_gate.rs
+++ b/crates/domain/src/crash_suspects/canary_gate.rs
@@ -85,13 +85,13 @@
     }
 
     /// How many leaves more it may go to now; none for any number.
-    pub fn room(&self) -> Option<usize> {
+    pub fn available(&self) -> Option<usize> {
         Some(self.in_flight_limit()?.saturating_sub(self.open))
     }
 
     /// Whether it may be sent to one more leaf.
     pub fn permission(&self) -> Permission {
-        match self.room() {
+        match self.available() {
             _ if self.refused => Permission::Never,
             _ if self.is_trial() && self.sent && !self.replied => Permission::Never,
             Some(0) => Permission::Wait,
