--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -12,7 +12,7 @@
     AfterAttempt, AttemptError, Choice, NobodyReason, RequestAttempts, Selection, hedge_delay,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
-use gingerkeel_domain::rollout::Standing;
+use gingerkeel_domain::rollout::RuleContext;
 use gingerkeel_domain::routes::{Destination, Route};
 use gingerkeel_domain::time::Timestamp;
 use monoio::time::sleep;
@@ -193,7 +193,7 @@
         let leaves = &self.state.leaves;
         let tenant = self.request.tenant.as_deref();
         let tried = self.attempts.tried();
-        let standing = Standing {
+        let standing = RuleContext {
             is_first: self.attempts.is_first(),
             lot: self.lot,
             is_fresh: self.state.is_fresh(),
--- a/crates/broker/src/routes/rollouts.rs
+++ b/crates/broker/src/routes/rollouts.rs
@@ -10,7 +10,7 @@
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::rollout::{
     Evidence, GatheredEvidence, LatencyBucket, Rollout, RolloutReport, RolloutStage, Rollouts,
-    Standing, Stratum, Tally, VersionRules,
+    RuleContext, Stratum, Tally, VersionRules,
 };
 use tracing::info;
 
@@ -53,7 +53,7 @@
     }
 
     /// Which leaves of a service a request may go to.
-    pub fn rules(&self, service: &ServiceName, standing: Standing) -> VersionRules {
+    pub fn rules(&self, service: &ServiceName, standing: RuleContext) -> VersionRules {
         self.in_force.borrow().rules(service, standing)
     }
 
--- a/crates/domain/src/rollout/mod.rs
+++ b/crates/domain/src/rollout/mod.rs
@@ -24,6 +24,6 @@
 pub use latency_bucket::LatencyBucket;
 pub use order::{ExposureLimit, RolloutOrder};
 pub use plan::{Progress, next_stage};
-pub use preference::{Standing, VersionRule, VersionRules, rules};
+pub use preference::{RuleContext, VersionRule, VersionRules, rules};
 pub use rollouts::{FormerRollouts, RolloutError, Rollouts};
 pub use stage::{RollBackCause, Rollout, RolloutAdvance, RolloutStage};
--- a/crates/domain/src/rollout/preference.rs
+++ b/crates/domain/src/rollout/preference.rs
@@ -53,7 +53,7 @@
 
 /// What is known of a request and of the broker that has it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
+pub struct RuleContext {
     /// Whether no leaf was asked for the request yet.
     pub is_first: bool,
     /// A number from 0 to 1, drawn once for the request.
@@ -72,7 +72,7 @@
 pub fn rules(
     rollout: &Rollout,
     taken_back: &BTreeSet<SoftwareVersion>,
-    standing: Standing,
+    standing: RuleContext,
 ) -> VersionRules {
     let target = || VersionRule::Only(rollout.order.target.clone());
     let barred = || taken_back.iter().chain([&rollout.order.target]).cloned().collect();
--- a/crates/domain/src/rollout/rollouts.rs
+++ b/crates/domain/src/rollout/rollouts.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::order::{ExposureLimit, RolloutOrder};
-use super::preference::{Standing, VersionRule, VersionRules, rules};
+use super::preference::{RuleContext, VersionRule, VersionRules, rules};
 use super::stage::{Rollout, RolloutAdvance, RolloutStage};
 use crate::identifiers::{Revision, ServiceName, SoftwareVersion};
 use crate::routes::PartsPerMillion;
@@ -143,7 +143,7 @@
     }
 
     /// Which leaves of a service a request may go to.
-    pub fn rules(&self, service: &ServiceName, standing: Standing) -> VersionRules {
+    pub fn rules(&self, service: &ServiceName, standing: RuleContext) -> VersionRules {
         let none = BTreeSet::new();
         let taken_back = self.taken_back.get(service).unwrap_or(&none);
         match self.by_service.get(service) {
--- a/crates/domain/tests/rollout_fleet.rs
+++ b/crates/domain/tests/rollout_fleet.rs
@@ -14,7 +14,7 @@
 };
 use gingerkeel_domain::rollout::{
     Evidence, ExposureLimit, LatencyBucket, Progress, Rollout, RolloutAdvance, RolloutOrder,
-    RolloutReport, RolloutStage, Standing, Stratum, Tally, VersionRule, next_stage, rules,
+    RolloutReport, RolloutStage, RuleContext, Stratum, Tally, VersionRule, next_stage, rules,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -218,7 +218,7 @@
         let broker = ((self.draw() * self.draw()) * BROKERS as f64) as usize;
         let lot = self.draw();
         let fresh = now < self.brokers[broker].fresh_until || self.mutant == Mutant::NoLease;
-        let standing = Standing { is_first: true, lot, is_fresh: fresh };
+        let standing = RuleContext { is_first: true, lot, is_fresh: fresh };
         self.requests += 1;
         let Some(rollout) = self.brokers[broker].rollout.clone() else {
             return;
