--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -195,7 +195,7 @@
         let tried = self.attempts.tried();
         let standing = RuleContext {
             is_first: self.attempts.is_first(),
-            lot: self.lot,
+            draw: self.lot,
             is_fresh: self.state.is_fresh(),
         };
         let versions = self.state.rollouts.rules(self.service, standing);
--- a/crates/domain/src/rollout/preference.rs
+++ b/crates/domain/src/rollout/preference.rs
@@ -57,7 +57,7 @@
     /// Whether no leaf was asked for the request yet.
     pub is_first: bool,
     /// A number from 0 to 1, drawn once for the request.
-    pub lot: f64,
+    pub draw: f64,
     /// Whether control confirmed lately what this broker holds.
     pub is_fresh: bool,
 }
@@ -79,7 +79,7 @@
     let present = || VersionRule::AllBut(barred());
     match rollout.stage {
         RolloutStage::Trial { share } if standing.is_first && standing.is_fresh => {
-            match is_drawn(share, standing.lot) {
+            match is_drawn(share, standing.draw) {
                 true => VersionRules { first: target(), then: Some(present()) },
                 false => VersionRules::only(present()),
             }
@@ -91,6 +91,6 @@
     }
 }
 
-fn is_drawn(share: PartsPerMillion, lot: f64) -> bool {
-    lot * f64::from(PartsPerMillion::WHOLE) < f64::from(share.0)
+fn is_drawn(share: PartsPerMillion, draw: f64) -> bool {
+    draw * f64::from(PartsPerMillion::WHOLE) < f64::from(share.0)
 }
--- a/crates/domain/tests/rollout_fleet.rs
+++ b/crates/domain/tests/rollout_fleet.rs
@@ -216,9 +216,9 @@
     fn request(&mut self, now: u64) {
         // A few brokers have most of the callers.
         let broker = ((self.draw() * self.draw()) * BROKERS as f64) as usize;
-        let lot = self.draw();
+        let draw = self.draw();
         let fresh = now < self.brokers[broker].fresh_until || self.mutant == Mutant::NoLease;
-        let standing = RuleContext { is_first: true, lot, is_fresh: fresh };
+        let standing = RuleContext { is_first: true, draw, is_fresh: fresh };
         self.requests += 1;
         let Some(rollout) = self.brokers[broker].rollout.clone() else {
             return;
--- a/crates/domain/tests/rollouts.rs
+++ b/crates/domain/tests/rollouts.rs
@@ -163,10 +163,10 @@
     assert_eq!(archive.stage, TRIAL);
 }
 
-const DRAWN: RuleContext = RuleContext { is_first: true, lot: 0.049, is_fresh: true };
-const NOT_DRAWN: RuleContext = RuleContext { is_first: true, lot: 0.051, is_fresh: true };
-const HEDGE: RuleContext = RuleContext { is_first: false, lot: 0.0, is_fresh: true };
-const OUT_OF_TOUCH: RuleContext = RuleContext { is_first: true, lot: 0.0, is_fresh: false };
+const DRAWN: RuleContext = RuleContext { is_first: true, draw: 0.049, is_fresh: true };
+const NOT_DRAWN: RuleContext = RuleContext { is_first: true, draw: 0.051, is_fresh: true };
+const HEDGE: RuleContext = RuleContext { is_first: false, draw: 0.0, is_fresh: true };
+const OUT_OF_TOUCH: RuleContext = RuleContext { is_first: true, draw: 0.0, is_fresh: false };
 
 fn target_first() -> VersionRules {
     let target = SoftwareVersion::new("v2");
@@ -210,7 +210,7 @@
 
 /// The rules for a request of a broker that knows the newest word, whose lot draws the target.
 fn rules_in(catalog: &Catalog) -> VersionRules {
-    let standing = RuleContext { is_first: true, lot: 0.0, is_fresh: true };
+    let standing = RuleContext { is_first: true, draw: 0.0, is_fresh: true };
     catalog.rollouts().rules(&ServiceName::new("search"), standing)
 }
 
