--- a/crates/broker/src/routes/rollouts.rs
+++ b/crates/broker/src/routes/rollouts.rs
@@ -9,8 +9,8 @@
 use gingerkeel_domain::forwarding::{AttemptError, Distance};
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::rollout::{
-    Evidence, GatheredEvidence, LatencyBucket, Rollout, RolloutReport, RolloutStage, Rollouts,
-    RuleContext, Stratum, Tally, VersionRules,
+    Evidence, GatheredEvidence, LatencyBucket, OutcomeCounts, Rollout, RolloutReport, RolloutStage,
+    Rollouts, RuleContext, Stratum, VersionRules,
 };
 use tracing::info;
 
@@ -133,7 +133,7 @@
     }
 }
 
-fn add(tally: &mut Tally, conclusion: Conclusion, bucket: LatencyBucket) {
+fn add(tally: &mut OutcomeCounts, conclusion: Conclusion, bucket: LatencyBucket) {
     match conclusion {
         Conclusion::Answered(status) if status < FIRST_FAILURE => {
             *tally.answered.entry(bucket).or_default() += 1;
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -9,7 +9,7 @@
 use gingerkeel_domain::forwarding::{ColdStart, Distance};
 use gingerkeel_domain::identifiers::{LeafIdentity, Revision, ServiceName};
 use gingerkeel_domain::rollout::{
-    Evidence, LatencyBucket, RolloutReport, RolloutStage, Stratum, Tally,
+    Evidence, LatencyBucket, OutcomeCounts, RolloutReport, RolloutStage, Stratum,
 };
 use gingerkeel_domain::routes::{
     BackEndService, CallerLimits, Destination, RegionPolicy, Route, RouteConfiguration,
@@ -195,8 +195,11 @@
 fn answers(present: u32, target: u32, failed: u32) -> Evidence {
     let stratum = Stratum { route: "r".into(), distance: Distance::Zone };
     let ordinary = LatencyBucket::of(Duration::from_millis(20));
-    let tally =
-        |count, failed| Tally { answered: [(ordinary, count)].into(), failed, ..Tally::default() };
+    let tally = |count, failed| OutcomeCounts {
+        answered: [(ordinary, count)].into(),
+        failed,
+        ..OutcomeCounts::default()
+    };
     let leaf = |name: &str| LeafIdentity::of_run(name, None);
     let half = tally(target / 2, failed / 2);
     Evidence {
--- a/crates/domain/src/rollout/evidence.rs
+++ b/crates/domain/src/rollout/evidence.rs
@@ -19,7 +19,7 @@
 
 /// What became of requests to leaves.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct OutcomeCounts {
     /// Requests that were answered, by how long that took.
     pub answered: BTreeMap<LatencyBucket, u32>,
     /// Requests whose answer tells of a failure of the leaf, or that the leaf lost.
@@ -28,7 +28,7 @@
     pub given_up: BTreeMap<LatencyBucket, u32>,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// Adds what another one counted.
     pub fn merge(&mut self, other: &Self) {
         add_all(&mut self.answered, &other.answered);
@@ -49,7 +49,7 @@
 }
 
 /// What became of requests to each leaf of a version: one leaf that ails is no fault of its version.
-pub type LeafTally = BTreeMap<LeafIdentity, Tally>;
+pub type LeafTally = BTreeMap<LeafIdentity, OutcomeCounts>;
 
 /// What became of the requests for a service while a roll-out of it is under way. A leaf whose version is not the one
 /// that is rolled out is a present one.
@@ -60,7 +60,7 @@
     /// Requests that were sent to the version that is rolled out.
     pub exposed: u64,
     /// Those to present leaves.
-    pub present: BTreeMap<Stratum, Tally>,
+    pub present: BTreeMap<Stratum, OutcomeCounts>,
     /// Those to leaves of the version.
     pub target: BTreeMap<Stratum, LeafTally>,
 }
--- a/crates/domain/src/rollout/judgement.rs
+++ b/crates/domain/src/rollout/judgement.rs
@@ -8,7 +8,7 @@
 
 use statrs::distribution::{Binomial, DiscreteCDF, Hypergeometric};
 
-use super::evidence::{Evidence, Stratum, Tally};
+use super::evidence::{Evidence, OutcomeCounts, Stratum};
 use super::latency_bucket::LatencyBucket;
 use super::stage::RollBackCause;
 use crate::identifiers::LeafIdentity;
@@ -56,7 +56,7 @@
         if self.all == 0 { 0.0 } else { self.bad() as f64 / self.all as f64 }
     }
 
-    fn add(&mut self, tally: &Tally, slow_from: Option<LatencyBucket>) {
+    fn add(&mut self, tally: &OutcomeCounts, slow_from: Option<LatencyBucket>) {
         let is_slow = |bucket: &LatencyBucket| slow_from.is_some_and(|from| *bucket >= from);
         let slow: u32 = count(tally.answered.iter().filter(|(bucket, _)| is_slow(bucket)));
         // One that was given up early says nothing.
@@ -202,7 +202,7 @@
 }
 
 /// The class of latencies from which on an answer is slow; none while it is not known what is usual.
-fn slow_from(present: &Tally) -> Option<LatencyBucket> {
+fn slow_from(present: &OutcomeCounts) -> Option<LatencyBucket> {
     let answers = present.answers();
     if answers < KNOWN_ANSWERS {
         return None;
--- a/crates/domain/tests/rollout_fleet.rs
+++ b/crates/domain/tests/rollout_fleet.rs
@@ -13,8 +13,9 @@
     LeafIdentity, Revision, ServiceName, SessionName, SoftwareVersion,
 };
 use gingerkeel_domain::rollout::{
-    Evidence, ExposureLimit, LatencyBucket, Progress, Rollout, RolloutAdvance, RolloutOrder,
-    RolloutReport, RolloutStage, RuleContext, Stratum, Tally, VersionRule, next_stage, rules,
+    Evidence, ExposureLimit, LatencyBucket, OutcomeCounts, Progress, Rollout, RolloutAdvance,
+    RolloutOrder, RolloutReport, RolloutStage, RuleContext, Stratum, VersionRule, next_stage,
+    rules,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -316,7 +317,7 @@
     }
 }
 
-fn count(tally: &mut Tally, fails: bool, took: LatencyBucket) {
+fn count(tally: &mut OutcomeCounts, fails: bool, took: LatencyBucket) {
     match fails {
         true => tally.failed += 1,
         false => *tally.answered.entry(took).or_default() += 1,
--- a/crates/domain/tests/rollout_judgement.rs
+++ b/crates/domain/tests/rollout_judgement.rs
@@ -5,7 +5,7 @@
 use gingerkeel_domain::forwarding::Distance;
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::rollout::{
-    Evidence, LatencyBucket, RollBackCause, Stratum, Tally, Verdict, compare, judge,
+    Evidence, LatencyBucket, OutcomeCounts, RollBackCause, Stratum, Verdict, compare, judge,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -66,8 +66,8 @@
     }
 
     /// One answer: most take about what is usual, and one leaf in 24 pauses at any time.
-    fn answer(&mut self, usual_ms: f64, fault: Fault, started_ms: u32) -> Tally {
-        let mut tally = Tally::default();
+    fn answer(&mut self, usual_ms: f64, fault: Fault, started_ms: u32) -> OutcomeCounts {
+        let mut tally = OutcomeCounts::default();
         let is_hit = |draw: f64, part: f64| draw < part;
         let hit = self.draw();
         if matches!(fault, Fault::Failing(part) if is_hit(hit, part)) {
--- a/crates/domain/tests/rollout_plan.rs
+++ b/crates/domain/tests/rollout_plan.rs
@@ -5,8 +5,8 @@
 use gingerkeel_domain::forwarding::Distance;
 use gingerkeel_domain::identifiers::{LeafIdentity, Revision, ServiceName, SoftwareVersion};
 use gingerkeel_domain::rollout::{
-    Evidence, ExposureLimit, LatencyBucket, Progress, RollBackCause, Rollout, RolloutOrder,
-    RolloutStage, Stratum, Tally, next_stage,
+    Evidence, ExposureLimit, LatencyBucket, OutcomeCounts, Progress, RollBackCause, Rollout,
+    RolloutOrder, RolloutStage, Stratum, next_stage,
 };
 use gingerkeel_domain::routes::PartsPerMillion;
 use rstest::rstest;
@@ -34,7 +34,8 @@
 fn answers(present: u32, target: u32) -> Evidence {
     let stratum = Stratum { route: "search".into(), distance: Distance::Zone };
     let ordinary = LatencyBucket::of(Duration::from_millis(20));
-    let tally = |count| Tally { answered: [(ordinary, count)].into(), ..Tally::default() };
+    let tally =
+        |count| OutcomeCounts { answered: [(ordinary, count)].into(), ..OutcomeCounts::default() };
     let leaf = |name: &str| LeafIdentity::of_run(name, None);
     let half = target / 2;
     let leaves = [(leaf("a"), tally(half)), (leaf("b"), tally(target - half))].into();
