--- a/crates/domain/src/rollout/evidence.rs
+++ b/crates/domain/src/rollout/evidence.rs
@@ -49,7 +49,7 @@
 }
 
 /// What became of requests to each leaf of a version: one leaf that ails is no fault of its version.
-pub type LeafTally = BTreeMap<LeafIdentity, OutcomeCounts>;
+pub type LeafOutcomes = BTreeMap<LeafIdentity, OutcomeCounts>;
 
 /// What became of the requests for a service while a roll-out of it is under way. A leaf whose version is not the one
 /// that is rolled out is a present one.
@@ -62,7 +62,7 @@
     /// Those to present leaves.
     pub present: BTreeMap<Stratum, OutcomeCounts>,
     /// Those to leaves of the version.
-    pub target: BTreeMap<Stratum, LeafTally>,
+    pub target: BTreeMap<Stratum, LeafOutcomes>,
 }
 
 impl Evidence {
--- a/crates/domain/src/rollout/mod.rs
+++ b/crates/domain/src/rollout/mod.rs
@@ -18,7 +18,7 @@
 mod rollouts;
 mod stage;
 
-pub use evidence::{Evidence, LeafTally, OutcomeCounts, RolloutReport, Stratum};
+pub use evidence::{Evidence, LeafOutcomes, OutcomeCounts, RolloutReport, Stratum};
 pub use gathered::{GatheredEvidence, RolloutKey};
 pub use judgement::{AnswerCounts, Comparison, Verdict, compare, judge};
 pub use latency_bucket::LatencyBucket;
