--- a/crates/broker/src/routes/rollouts.rs
+++ b/crates/broker/src/routes/rollouts.rs
@@ -9,7 +9,7 @@
 use gingerkeel_domain::forwarding::{AttemptError, Distance};
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::rollout::{
-    Evidence, GatheredEvidence, LatencyBucket, OutcomeCounts, Rollout, RolloutReport, RolloutStage,
+    Evidence, LatencyBucket, OutcomeCounts, PendingEvidence, Rollout, RolloutReport, RolloutStage,
     Rollouts, RuleContext, Stratum, VersionRules,
 };
 use tracing::info;
@@ -22,7 +22,7 @@
 pub struct RolloutTable {
     in_force: RefCell<Rollouts>,
     /// What came to light since the last report.
-    evidence: RefCell<GatheredEvidence>,
+    evidence: RefCell<PendingEvidence>,
 }
 
 /// How an attempt at a leaf ended.
--- a/crates/control/src/cluster_task/rollouts.rs
+++ b/crates/control/src/cluster_task/rollouts.rs
@@ -6,7 +6,7 @@
 use gingerkeel_domain::cluster::{ClusterState, CommandBody};
 use gingerkeel_domain::consensus::RoleName;
 use gingerkeel_domain::rollout::{
-    Evidence, GatheredEvidence, Progress, RollBackCause, Rollout, RolloutAdvance, RolloutKey,
+    Evidence, PendingEvidence, Progress, RollBackCause, Rollout, RolloutAdvance, RolloutKey,
     RolloutReport, RolloutStage, compare, next_stage,
 };
 use gingerkeel_domain::time::Timestamp;
@@ -29,7 +29,7 @@
 pub struct RolloutWatch {
     followed: BTreeMap<RolloutKey, Followed>,
     /// What brokers reported since the last round.
-    reported: GatheredEvidence,
+    reported: PendingEvidence,
 }
 
 impl RolloutWatch {
--- a/crates/domain/src/rollout/gathered.rs
+++ b/crates/domain/src/rollout/gathered.rs
@@ -10,11 +10,11 @@
 
 /// What came to light of each roll-out since it was reported last.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct GatheredEvidence {
+pub struct PendingEvidence {
     by_rollout: BTreeMap<RolloutKey, Evidence>,
 }
 
-impl GatheredEvidence {
+impl PendingEvidence {
     /// What came to light of one roll-out, to be added to.
     pub fn of(&mut self, rollout: RolloutKey) -> &mut Evidence {
         self.by_rollout.entry(rollout).or_default()
--- a/crates/domain/src/rollout/mod.rs
+++ b/crates/domain/src/rollout/mod.rs
@@ -19,7 +19,7 @@
 mod stage;
 
 pub use evidence::{Evidence, LeafOutcomes, OutcomeCounts, RolloutReport, Stratum};
-pub use gathered::{GatheredEvidence, RolloutKey};
+pub use gathered::{PendingEvidence, RolloutKey};
 pub use judgement::{AnswerCounts, Comparison, Verdict, compare, judge};
 pub use latency_bucket::LatencyBucket;
 pub use order::{ExposureLimit, RolloutOrder};
