--- a/crates/domain/src/cluster/rollouts.rs
+++ b/crates/domain/src/cluster/rollouts.rs
@@ -8,7 +8,7 @@
 use crate::catalog::Change;
 use crate::identifiers::{Revision, ServiceName, SessionName};
 use crate::rollout::{
-    Evidence, Rollout, RolloutAdvance, RolloutReport, RolloutStage, Verdict, judge,
+    Evidence, Rollout, RolloutAdvance, RolloutReport, RolloutStage, Verdict, evaluate,
 };
 
 /// Session under which control processes change the catalog by themselves.
@@ -52,7 +52,7 @@
             if !self.is_under_way(report) {
                 continue;
             }
-            if let Verdict::Bad(cause) = judge(self.rollout_evidence.add(report)) {
+            if let Verdict::Bad(cause) = evaluate(self.rollout_evidence.add(report)) {
                 let stage = RolloutStage::RolledBack(cause);
                 let (service, begun) = (report.service.clone(), report.begun);
                 advanced
--- a/crates/domain/src/rollout/judgement.rs
+++ b/crates/domain/src/rollout/judgement.rs
@@ -126,7 +126,7 @@
 }
 
 /// Judges a version by all answers so far: over all routes, and on each, since a fault may show on one only.
-pub fn judge(evidence: &Evidence) -> Verdict {
+pub fn evaluate(evidence: &Evidence) -> Verdict {
     let routes: BTreeSet<&str> =
         evidence.target.keys().map(|stratum| stratum.route.as_str()).collect();
     let on_routes = routes.iter().map(|route| Some(*route));
--- a/crates/domain/src/rollout/plan.rs
+++ b/crates/domain/src/rollout/plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::evidence::Evidence;
-use super::judgement::{Verdict, judge};
+use super::judgement::{Verdict, evaluate};
 use super::order::ExposureLimit;
 use super::rollouts::first_share;
 use super::stage::{RollBackCause, Rollout, RolloutStage};
@@ -56,7 +56,7 @@
     share: PartsPerMillion,
 ) -> Option<RolloutStage> {
     let duration = rollout.order.duration();
-    let sound = judge(evidence) == Verdict::Sound;
+    let sound = evaluate(evidence) == Verdict::Sound;
     if sound && elapsed >= duration.mul_f64(MOVE_PART) {
         return Some(RolloutStage::Moving);
     }
--- a/crates/domain/tests/rollout_judgement.rs
+++ b/crates/domain/tests/rollout_judgement.rs
@@ -5,7 +5,7 @@
 use gingerkeel_domain::forwarding::Distance;
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::rollout::{
-    Evidence, LatencyBucket, OutcomeCounts, RollBackCause, Stratum, Verdict, compare, judge,
+    Evidence, LatencyBucket, OutcomeCounts, RollBackCause, Stratum, Verdict, compare, evaluate,
 };
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -118,13 +118,13 @@
     Open,
 }
 
-fn replay(case: Case, seed: u64, judge: impl Fn(&Evidence) -> Verdict) -> End {
+fn replay(case: Case, seed: u64, evaluate: impl Fn(&Evidence) -> Verdict) -> End {
     let random = Pcg64::seed_from_u64(seed);
     let mut replay = Replay { random, case, evidence: Evidence::default() };
     let mut last = Verdict::Open;
     for look in 0..LOOKS {
         replay.look(look);
-        last = judge(&replay.evidence);
+        last = evaluate(&replay.evidence);
         if let Verdict::Bad(cause) = last {
             let target = compare(&replay.evidence, None).target;
             return End::TakenBack { cause, bad: target.failed + target.slow };
@@ -148,8 +148,8 @@
     }
 }
 
-fn ends(case: Case, judge: impl Fn(&Evidence) -> Verdict + Copy) -> Vec<End> {
-    (0..ROLLOUTS).map(|seed| replay(case, seed, judge)).collect()
+fn ends(case: Case, evaluate: impl Fn(&Evidence) -> Verdict + Copy) -> Vec<End> {
+    (0..ROLLOUTS).map(|seed| replay(case, seed, evaluate)).collect()
 }
 
 fn count(ends: &[End], wanted: impl Fn(&End) -> bool) -> usize {
@@ -167,7 +167,7 @@
 #[case::all_leaves_fail_at_times(Case { present: Fault::Failing(0.2), ..SOUND })]
 #[case::all_leaves_are_slow_at_times(Case { present: Fault::Slow(0.3), ..SOUND })]
 fn a_sound_version_is_hardly_ever_taken_back(#[case] case: Case) {
-    let wrong = count(&ends(case, judge), taken_back) as u64;
+    let wrong = count(&ends(case, evaluate), taken_back) as u64;
     println!("{case:?}: {wrong} of {ROLLOUTS} taken back");
     assert!(wrong * 100 <= ROLLOUTS, "{wrong} of {ROLLOUTS}");
 }
@@ -177,7 +177,7 @@
 #[case::slow(Case { version: Fault::Slow(1.0), leaf: Some(0), ..SOUND })]
 #[case::failing(Case { version: Fault::Failing(0.9), leaf: Some(1), ..SOUND })]
 fn a_leaf_that_ails_by_itself_does_not_condemn_its_version(#[case] case: Case) {
-    let wrong = count(&ends(case, judge), taken_back) as u64;
+    let wrong = count(&ends(case, evaluate), taken_back) as u64;
     println!("{case:?}: {wrong} of {ROLLOUTS} taken back");
     assert!(wrong * 50 <= ROLLOUTS, "{wrong} of {ROLLOUTS}");
 }
@@ -187,7 +187,7 @@
 #[case::many_requests(Case { trial_answers: 8, ..SOUND })]
 #[case::all_leaves_fail_at_times(Case { present: Fault::Failing(0.1), ..SOUND })]
 fn a_sound_version_is_found_to_be_so(#[case] case: Case) {
-    let found = count(&ends(case, judge), |end| *end == End::Sound);
+    let found = count(&ends(case, evaluate), |end| *end == End::Sound);
     println!("{case:?}: {found} of {ROLLOUTS} found sound");
     assert!(found as u64 >= ROLLOUTS * 95 / 100, "{found} of {ROLLOUTS}");
 }
@@ -206,7 +206,7 @@
     Case { version: Fault::Failing(0.7), present: Fault::Failing(0.1), ..SOUND }
 )]
 fn a_bad_version_is_taken_back_within_dozens_of_bad_answers(#[case] case: Case) {
-    let ends = ends(case, judge);
+    let ends = ends(case, evaluate);
     let passed = count(&ends, |end| *end == End::Sound);
     let found = count(&ends, taken_back);
     let most = ends.iter().map(|end| match end {
@@ -225,17 +225,17 @@
 fn the_cause_is_told(#[case] version: Fault, #[case] expected: RollBackCause) {
     let case = Case { version, ..SOUND };
     let other = |end: &End| matches!(end, End::TakenBack { cause, .. } if *cause != expected);
-    assert_eq!(count(&ends(case, judge), other), 0);
+    assert_eq!(count(&ends(case, evaluate), other), 0);
 }
 
 #[test]
 fn no_answers_say_nothing() {
-    assert_eq!(judge(&Evidence::default()), Verdict::Open);
+    assert_eq!(evaluate(&Evidence::default()), Verdict::Open);
 }
 
 #[test]
 fn a_fixed_rule_takes_far_more_sound_versions_back() {
-    let judged = count(&ends(SOUND, judge), taken_back);
+    let judged = count(&ends(SOUND, evaluate), taken_back);
     let fixed = count(&ends(SOUND, fixed_rule), taken_back);
     println!("of {ROLLOUTS} sound versions: {judged} taken back, {fixed} by the fixed rule");
     assert!(judged * 10 < fixed, "{judged} and {fixed}");
