--- a/crates/domain/src/rollout/judgement.rs
+++ b/crates/domain/src/rollout/judgement.rs
@@ -118,7 +118,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// There are too few of them, or they are contradictory.
-    Open,
+    Inconclusive,
     /// It is no worse than present leaves.
     Sound,
     /// It is worse.
@@ -137,7 +137,7 @@
     let suspect = on_routes.into_iter().any(|route| compare(evidence, route).is_worse(SUSPECT));
     match !suspect && compare(evidence, None).is_no_worse() {
         true => Verdict::Sound,
-        false => Verdict::Open,
+        false => Verdict::Inconclusive,
     }
 }
 
--- a/crates/domain/tests/rollout_judgement.rs
+++ b/crates/domain/tests/rollout_judgement.rs
@@ -121,7 +121,7 @@
 fn replay(case: Case, seed: u64, evaluate: impl Fn(&Evidence) -> Verdict) -> End {
     let random = Pcg64::seed_from_u64(seed);
     let mut replay = Replay { random, case, evidence: Evidence::default() };
-    let mut last = Verdict::Open;
+    let mut last = Verdict::Inconclusive;
     for look in 0..LOOKS {
         replay.look(look);
         last = evaluate(&replay.evidence);
@@ -140,7 +140,7 @@
         (counts.failed + counts.slow) as f64 / counts.all.max(1) as f64
     };
     if compared.target.all < 20 {
-        return Verdict::Open;
+        return Verdict::Inconclusive;
     }
     match share(compared.target) > 2.0 * share(compared.present) {
         true => Verdict::Bad(RollBackCause::Failing),
@@ -230,7 +230,7 @@
 
 #[test]
 fn no_answers_say_nothing() {
-    assert_eq!(evaluate(&Evidence::default()), Verdict::Open);
+    assert_eq!(evaluate(&Evidence::default()), Verdict::Inconclusive);
 }
 
 #[test]
