--- a/crates/domain/src/rollout/judgement.rs
+++ b/crates/domain/src/rollout/judgement.rs
@@ -120,7 +120,7 @@
     /// There are too few of them, or they are contradictory.
     Inconclusive,
     /// It is no worse than present leaves.
-    Sound,
+    Healthy,
     /// It is worse.
     Bad(RollBackCause),
 }
@@ -136,7 +136,7 @@
     }
     let suspect = on_routes.into_iter().any(|route| compare(evidence, route).is_worse(SUSPECT));
     match !suspect && compare(evidence, None).is_no_worse() {
-        true => Verdict::Sound,
+        true => Verdict::Healthy,
         false => Verdict::Inconclusive,
     }
 }
--- a/crates/domain/src/rollout/plan.rs
+++ b/crates/domain/src/rollout/plan.rs
@@ -56,7 +56,7 @@
     share: PartsPerMillion,
 ) -> Option<RolloutStage> {
     let duration = rollout.order.duration();
-    let sound = evaluate(evidence) == Verdict::Sound;
+    let sound = evaluate(evidence) == Verdict::Healthy;
     if sound && elapsed >= duration.mul_f64(MOVE_PART) {
         return Some(RolloutStage::Moving);
     }
--- a/crates/domain/tests/rollout_judgement.rs
+++ b/crates/domain/tests/rollout_judgement.rs
@@ -130,7 +130,7 @@
             return End::TakenBack { cause, bad: target.failed + target.slow };
         }
     }
-    if last == Verdict::Sound { End::Sound } else { End::Open }
+    if last == Verdict::Healthy { End::Sound } else { End::Open }
 }
 
 /// The way that was not taken: twenty answers, and twice the share of bad answers of present leaves.
@@ -144,7 +144,7 @@
     }
     match share(compared.target) > 2.0 * share(compared.present) {
         true => Verdict::Bad(RollBackCause::Failing),
-        false => Verdict::Sound,
+        false => Verdict::Healthy,
     }
 }
 
