--- a/crates/domain/src/cluster/rollouts.rs
+++ b/crates/domain/src/cluster/rollouts.rs
@@ -52,7 +52,7 @@
             if !self.is_under_way(report) {
                 continue;
             }
-            if let Verdict::Bad(cause) = evaluate(self.rollout_evidence.add(report)) {
+            if let Verdict::Regressed(cause) = evaluate(self.rollout_evidence.add(report)) {
                 let stage = RolloutStage::RolledBack(cause);
                 let (service, begun) = (report.service.clone(), report.begun);
                 advanced
--- a/crates/domain/src/rollout/judgement.rs
+++ b/crates/domain/src/rollout/judgement.rs
@@ -122,7 +122,7 @@
     /// It is no worse than present leaves.
     Healthy,
     /// It is worse.
-    Bad(RollBackCause),
+    Regressed(RollBackCause),
 }
 
 /// Judges a version by all answers so far: over all routes, and on each, since a fault may show on one only.
@@ -132,7 +132,7 @@
     let on_routes = routes.iter().map(|route| Some(*route));
     let bad = std::iter::once(None).chain(on_routes.clone()).find_map(|route| bad(evidence, route));
     if let Some(cause) = bad {
-        return Verdict::Bad(cause);
+        return Verdict::Regressed(cause);
     }
     let suspect = on_routes.into_iter().any(|route| compare(evidence, route).is_worse(SUSPECT));
     match !suspect && compare(evidence, None).is_no_worse() {
--- a/crates/domain/tests/rollout_judgement.rs
+++ b/crates/domain/tests/rollout_judgement.rs
@@ -125,7 +125,7 @@
     for look in 0..LOOKS {
         replay.look(look);
         last = evaluate(&replay.evidence);
-        if let Verdict::Bad(cause) = last {
+        if let Verdict::Regressed(cause) = last {
             let target = compare(&replay.evidence, None).target;
             return End::TakenBack { cause, bad: target.failed + target.slow };
         }
@@ -143,7 +143,7 @@
         return Verdict::Inconclusive;
     }
     match share(compared.target) > 2.0 * share(compared.present) {
-        true => Verdict::Bad(RollBackCause::Failing),
+        true => Verdict::Regressed(RollBackCause::Failing),
         false => Verdict::Healthy,
     }
 }
