--- a/crates/control/src/replication/membership.rs
+++ b/crates/control/src/replication/membership.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use gingerkeel_domain::consensus::{Configuration, Growth, MemberChange, MemberId, NodeNumber};
+use gingerkeel_domain::consensus::{
+    Configuration, MemberChange, MemberId, MembershipPolicy, NodeNumber,
+};
 use gingerkeel_settings::ControlSettings;
 
 use super::peers::Directory;
@@ -13,7 +15,7 @@
     voters: Vec<NodeNumber>,
     /// Whether this process may form a cluster.
     may_form: bool,
-    growth: Option<Growth>,
+    growth: Option<MembershipPolicy>,
 }
 
 /// What a process without a log does next.
@@ -38,7 +40,7 @@
         voters.sort_unstable();
         voters.dedup();
         let may_form = settings.seeds.as_ref().is_none_or(|seeds| seeds.form);
-        let growth = settings.seeds.as_ref().map(|seeds| Growth {
+        let growth = settings.seeds.as_ref().map(|seeds| MembershipPolicy {
             least_voters: seeds.least_voters as usize,
             most_voters: seeds.voters as usize,
             lost_after: Duration::from_millis(seeds.replace_after_ms.into()),
@@ -52,7 +54,7 @@
     }
 
     /// How the cluster grows; none when operators name its members.
-    pub fn growth(&self) -> Option<Growth> {
+    pub fn growth(&self) -> Option<MembershipPolicy> {
         self.growth
     }
 
--- a/crates/domain/src/consensus/membership.rs
+++ b/crates/domain/src/consensus/membership.rs
@@ -16,7 +16,7 @@
 
 /// How a cluster grows that members join by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Growth {
+pub struct MembershipPolicy {
     /// Voters that have to answer before a lost one is taken out.
     pub least_voters: usize,
     /// Most voters; further members wait as learners.
@@ -91,7 +91,7 @@
     /// caught up is promoted while there are not too many voters or one is lost, so that it takes
     /// the place of the lost one before that is taken out. A voter that was taken out and comes
     /// back joins again as a learner.
-    pub fn due_growth(&self, now: Timestamp, growth: &Growth) -> Option<MemberChange> {
+    pub fn due_growth(&self, now: Timestamp, growth: &MembershipPolicy) -> Option<MemberChange> {
         let configuration = self.configuration();
         let is_lost = |member: &MemberId| {
             let progress = self.progress(*member);
--- a/crates/domain/src/consensus/mod.rs
+++ b/crates/domain/src/consensus/mod.rs
@@ -27,7 +27,7 @@
 
 pub use configuration::{Configuration, MemberChange};
 pub use error::{MemberChangeError, ProposeError, ReadError};
-pub use membership::Growth;
+pub use membership::MembershipPolicy;
 pub use message::{AppendOutcome, Envelope, Message, ReadRound, RequestNumber};
 pub use node::{Node, NodeStatus, Proposed, RoleName};
 pub use ready::{MemberChangeOutcome, ReadOutcome, Ready, SnapshotWrite, Write, WriteNumber};
--- a/crates/domain/tests/consensus/membership.rs
+++ b/crates/domain/tests/consensus/membership.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::consensus::{
-    Growth, LogIndex, MemberChange, MemberChangeError, Recovered, RoleName,
+    LogIndex, MemberChange, MemberChangeError, MembershipPolicy, Recovered, RoleName,
 };
 use rstest::rstest;
 
@@ -171,10 +171,10 @@
     assert_eq!(outcome, Err(MemberChangeError::NotLeader(Some(member(1)))));
 }
 
-const GROWTH: Growth =
-    Growth { least_voters: 3, most_voters: 4, lost_after: Duration::from_millis(2_000) };
+const GROWTH: MembershipPolicy =
+    MembershipPolicy { least_voters: 3, most_voters: 4, lost_after: Duration::from_millis(2_000) };
 
-fn due(lab: &mut Lab, growth: &Growth) -> Option<MemberChange> {
+fn due(lab: &mut Lab, growth: &MembershipPolicy) -> Option<MemberChange> {
     let now = lab.now;
     lab.node(1).node.due_growth(now, growth)
 }
@@ -190,13 +190,13 @@
 fn a_learner_becomes_a_voter_up_to_the_most() {
     let mut lab = with_learner(&ALL);
     assert_eq!(due(&mut lab, &GROWTH), Some(MemberChange::Promote(member(4))));
-    let full = Growth { most_voters: 3, ..GROWTH };
+    let full = MembershipPolicy { most_voters: 3, ..GROWTH };
     assert_eq!(due(&mut lab, &full), None);
 }
 
 #[test]
 fn a_learner_takes_the_place_of_a_lost_voter_before_that_is_taken_out() {
-    let full = Growth { most_voters: 3, ..GROWTH };
+    let full = MembershipPolicy { most_voters: 3, ..GROWTH };
     let mut lab = with_learner(&ALL);
     hear_only(&mut lab, &[1, 2, 4]);
     let promotion = MemberChange::Promote(member(4));
