--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -430,7 +430,7 @@
         let Some(growth) = self.planned.growth() else {
             return;
         };
-        let Some(change) = self.node.due_growth(now, &growth) else {
+        let Some(change) = self.node.due_membership_change(now, &growth) else {
             return;
         };
         match self.node.change_members(now, change) {
--- a/crates/domain/src/consensus/membership.rs
+++ b/crates/domain/src/consensus/membership.rs
@@ -91,7 +91,11 @@
     /// caught up is promoted while there are not too many voters or one is lost, so that it takes
     /// the place of the lost one before that is taken out. A voter that was taken out and comes
     /// back joins again as a learner.
-    pub fn due_growth(&self, now: Timestamp, growth: &MembershipPolicy) -> Option<MemberChange> {
+    pub fn due_membership_change(
+        &self,
+        now: Timestamp,
+        growth: &MembershipPolicy,
+    ) -> Option<MemberChange> {
         let configuration = self.configuration();
         let is_lost = |member: &MemberId| {
             let progress = self.progress(*member);
--- a/crates/domain/tests/consensus/membership.rs
+++ b/crates/domain/tests/consensus/membership.rs
@@ -176,7 +176,7 @@
 
 fn due(lab: &mut Lab, growth: &MembershipPolicy) -> Option<MemberChange> {
     let now = lab.now;
-    lab.node(1).node.due_growth(now, growth)
+    lab.node(1).node.due_membership_change(now, growth)
 }
 
 /// The leader hears from these members alone for longer than a lost one may be silent.
@@ -232,5 +232,5 @@
 fn only_a_leader_sees_a_change_due() {
     let mut lab = with_learner(&ALL);
     let now = lab.now;
-    assert_eq!(lab.node(2).node.due_growth(now, &GROWTH), None);
+    assert_eq!(lab.node(2).node.due_membership_change(now, &GROWTH), None);
 }
