--- a/crates/control/src/replication/membership.rs
+++ b/crates/control/src/replication/membership.rs
@@ -41,9 +41,9 @@
         voters.dedup();
         let may_form = settings.seeds.as_ref().is_none_or(|seeds| seeds.form);
         let growth = settings.seeds.as_ref().map(|seeds| MembershipPolicy {
-            least_voters: seeds.least_voters as usize,
-            most_voters: seeds.voters as usize,
-            lost_after: Duration::from_millis(seeds.replace_after_ms.into()),
+            min_voters: seeds.least_voters as usize,
+            max_voters: seeds.voters as usize,
+            voter_timeout: Duration::from_millis(seeds.replace_after_ms.into()),
         });
         Self { own, voters, may_form, growth }
     }
--- a/crates/domain/src/consensus/membership.rs
+++ b/crates/domain/src/consensus/membership.rs
@@ -18,11 +18,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipPolicy {
     /// Voters that have to answer before a lost one is taken out.
-    pub least_voters: usize,
+    pub min_voters: usize,
     /// Most voters; further members wait as learners.
-    pub most_voters: usize,
+    pub max_voters: usize,
     /// Silence after which a voter counts as lost.
-    pub lost_after: Duration,
+    pub voter_timeout: Duration,
 }
 
 impl Node {
@@ -99,17 +99,17 @@
         let configuration = self.configuration();
         let is_lost = |member: &MemberId| {
             let progress = self.progress(*member);
-            progress.is_some_and(|progress| !progress.is_active(now, growth.lost_after))
+            progress.is_some_and(|progress| !progress.is_active(now, growth.voter_timeout))
         };
         let voters = &configuration.voters;
         let lost = voters.iter().copied().find(is_lost);
         let present = voters.iter().filter(|voter| !is_lost(voter)).count();
-        if let Some(voter) = lost.filter(|_| present >= growth.least_voters) {
+        if let Some(voter) = lost.filter(|_| present >= growth.min_voters) {
             return Some(MemberChange::Remove(voter));
         }
         let mut learners = configuration.learners.iter().copied();
         let ready = learners.find(|learner| self.has_caught_up(now, *learner))?;
-        let wanted = voters.len() < growth.most_voters || lost.is_some();
+        let wanted = voters.len() < growth.max_voters || lost.is_some();
         wanted.then_some(MemberChange::Promote(ready))
     }
 
--- a/crates/domain/tests/consensus/membership.rs
+++ b/crates/domain/tests/consensus/membership.rs
@@ -172,7 +172,7 @@
 }
 
 const GROWTH: MembershipPolicy =
-    MembershipPolicy { least_voters: 3, most_voters: 4, lost_after: Duration::from_millis(2_000) };
+    MembershipPolicy { min_voters: 3, max_voters: 4, voter_timeout: Duration::from_millis(2_000) };
 
 fn due(lab: &mut Lab, growth: &MembershipPolicy) -> Option<MemberChange> {
     let now = lab.now;
@@ -190,13 +190,13 @@
 fn a_learner_becomes_a_voter_up_to_the_most() {
     let mut lab = with_learner(&ALL);
     assert_eq!(due(&mut lab, &GROWTH), Some(MemberChange::Promote(member(4))));
-    let full = MembershipPolicy { most_voters: 3, ..GROWTH };
+    let full = MembershipPolicy { max_voters: 3, ..GROWTH };
     assert_eq!(due(&mut lab, &full), None);
 }
 
 #[test]
 fn a_learner_takes_the_place_of_a_lost_voter_before_that_is_taken_out() {
-    let full = MembershipPolicy { most_voters: 3, ..GROWTH };
+    let full = MembershipPolicy { max_voters: 3, ..GROWTH };
     let mut lab = with_learner(&ALL);
     hear_only(&mut lab, &[1, 2, 4]);
     let promotion = MemberChange::Promote(member(4));
