--- a/crates/domain/src/consensus/node.rs
+++ b/crates/domain/src/consensus/node.rs
@@ -212,7 +212,7 @@
         if self.log.last() != LogPosition::default() || self.hard_state != HardState::default() {
             return;
         }
-        let formed = Recovered::formed(configuration);
+        let formed = Recovered::bootstrap(configuration);
         self.set_hard_state(formed.hard_state);
         formed.entries.into_iter().for_each(|entry| self.append_entry(entry));
         self.election_due = now;
--- a/crates/domain/src/consensus/types.rs
+++ b/crates/domain/src/consensus/types.rs
@@ -147,7 +147,7 @@
 impl Recovered {
     /// What the one member that forms a new cluster starts from: a log whose only entry names
     /// the members. The driver persists it before it starts.
-    pub fn formed(configuration: Configuration) -> Self {
+    pub fn bootstrap(configuration: Configuration) -> Self {
         let term = Term(1);
         let payload = Payload::Configuration(configuration);
         let entry = Entry { term, index: LogIndex(1), payload };
--- a/crates/domain/tests/consensus/cluster.rs
+++ b/crates/domain/tests/consensus/cluster.rs
@@ -87,7 +87,7 @@
             .collect();
         let configuration = Configuration::of_voters(identities[..voters].iter().copied());
         let server = |(number, identity): (usize, &MemberId)| match number < voters {
-            true => Server::new(*identity, Recovered::formed(configuration.clone())),
+            true => Server::new(*identity, Recovered::bootstrap(configuration.clone())),
             false => Server::new(*identity, Recovered::default()),
         };
         let servers = identities.iter().enumerate().map(server).collect();
--- a/crates/domain/tests/consensus/lab.rs
+++ b/crates/domain/tests/consensus/lab.rs
@@ -56,7 +56,7 @@
         let now = Timestamp::from_micros(1_000_000);
         let mut lab = Self { nodes: BTreeMap::new(), now, pending: Vec::new(), settings };
         for number in 1..=count {
-            lab.start(member(number), Recovered::formed(voters(count)));
+            lab.start(member(number), Recovered::bootstrap(voters(count)));
         }
         lab
     }
--- a/crates/domain/tests/consensus/mutants.rs
+++ b/crates/domain/tests/consensus/mutants.rs
@@ -118,7 +118,7 @@
 }
 
 fn restart_first(lab: &mut Lab, vote_kept: bool) {
-    let mut recovered = Recovered::formed(voters(3));
+    let mut recovered = Recovered::bootstrap(voters(3));
     let writes = &lab.node(1).writes;
     if let Some(hard_state) = writes.iter().rev().find_map(|write| write.hard_state) {
         recovered.hard_state = hard_state;
--- a/crates/domain/tests/consensus/persistence.rs
+++ b/crates/domain/tests/consensus/persistence.rs
@@ -9,7 +9,7 @@
 
 /// What a member that formed the cluster has on disk after these writes.
 fn on_disk(writes: &[Write]) -> Recovered {
-    let mut recovered = Recovered::formed(voters(3));
+    let mut recovered = Recovered::bootstrap(voters(3));
     for write in writes {
         recovered.hard_state = write.hard_state.unwrap_or(recovered.hard_state);
         recovered.entries.extend(write.entries.iter().cloned());
@@ -104,7 +104,7 @@
 #[test]
 fn a_commit_index_beyond_the_entries_on_disk_counts_up_to_them() {
     let mut lab = Lab::new(3);
-    let recovered = Recovered { commit: LogIndex(99), ..Recovered::formed(voters(3)) };
+    let recovered = Recovered { commit: LogIndex(99), ..Recovered::bootstrap(voters(3)) };
     lab.start(member(1), recovered);
     lab.flush(member(1));
     assert_eq!(lab.commit(1), LogIndex(1));
--- a/crates/simulation/src/control/scenario.rs
+++ b/crates/simulation/src/control/scenario.rs
@@ -250,7 +250,7 @@
     let identities: Vec<MemberId> = (1..=MACHINES as u32)
         .map(|node| MemberId { node: NodeNumber(node), incarnation: Incarnation(1) })
         .collect();
-    let formed = Recovered::formed(Configuration::of_voters(identities.iter().copied()));
+    let formed = Recovered::bootstrap(Configuration::of_voters(identities.iter().copied()));
     let machines = identities.iter().map(|identity| Machine::new(*identity, formed.clone()));
     let brokers = (0..BROKERS).map(|_| Broker::new(any_machine(&mut random))).collect();
     let operators =
