--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -397,7 +397,7 @@
             FirstStep::Wait => {}
             FirstStep::Form(configuration) => {
                 info!(event = "cluster_formed", voters = configuration.voters.len());
-                self.node.form(now, configuration);
+                self.node.bootstrap(now, configuration);
                 self.node.tick(now);
             }
             FirstStep::Join(formed, change) => {
--- a/crates/domain/src/consensus/node.rs
+++ b/crates/domain/src/consensus/node.rs
@@ -208,7 +208,7 @@
     ///
     /// Only one member of a cluster may do so, once it knows that no other has a log. Without
     /// effect when the log is not empty.
-    pub fn form(&mut self, now: Timestamp, configuration: Configuration) {
+    pub fn bootstrap(&mut self, now: Timestamp, configuration: Configuration) {
         if self.log.last() != LogPosition::default() || self.hard_state != HardState::default() {
             return;
         }
