--- a/crates/domain/src/cluster/former.rs
+++ b/crates/domain/src/cluster/former.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Charges, ClusterState, History, LeafHints, LogIndex, Members, OverloadFold, RefusedRequests,
-    RolloutEvidence, Sessions, Thresholds, WallTime,
+    Charges, ClusterState, History, LeafHints, LogIndex, Members, OverloadAggregator,
+    RefusedRequests, RolloutEvidence, Sessions, Thresholds, WallTime,
 };
 use crate::catalog::{FormerCatalog, NoRollouts};
 use crate::directory::{FormerLeafDirectory, LeafDirectory};
@@ -89,7 +89,7 @@
     leaf_hints: LeafHints,
     charges: Charges,
     thresholds: Thresholds,
-    overload: OverloadFold,
+    overload: OverloadAggregator,
     routes: Routes,
     directory: Directory,
     rollout_evidence: Evidence,
--- a/crates/domain/src/cluster/mod.rs
+++ b/crates/domain/src/cluster/mod.rs
@@ -47,7 +47,7 @@
     BrokerChange, BrokerRecord, CONTROL_LEASE, ControlRecord, ControlRenewal, DEPARTED_RETENTION,
     DepartedBroker, Members,
 };
-pub use overload::{BrokerOverload, OverloadFold, OverloadSettings};
+pub use overload::{BrokerOverload, OverloadAggregator, OverloadSettings};
 pub use polling::polled_by;
 pub use refused_requests::{RefusedRequest, RefusedRequests};
 pub use rollouts::RolloutEvidence;
@@ -67,7 +67,7 @@
     leaf_hints: LeafHints,
     charges: Charges,
     thresholds: Thresholds,
-    overload: OverloadFold,
+    overload: OverloadAggregator,
     routes: RouteState,
     directory: LeafDirectory,
     rollout_evidence: RolloutEvidence,
--- a/crates/domain/src/cluster/overload.rs
+++ b/crates/domain/src/cluster/overload.rs
@@ -69,11 +69,11 @@
 
 /// The reports of all brokers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverloadFold {
+pub struct OverloadAggregator {
     services: BTreeMap<ServiceName, ServiceOverload>,
 }
 
-impl OverloadFold {
+impl OverloadAggregator {
     /// Takes a report in and sets the threshold of its service.
     pub fn report(
         &mut self,
--- a/crates/domain/tests/overload_threshold.rs
+++ b/crates/domain/tests/overload_threshold.rs
@@ -4,8 +4,8 @@
 
 use gingerkeel_domain::admission::{ADMIT_ALL, ClassPressure, OverloadReport};
 use gingerkeel_domain::cluster::{
-    BrokerOverload, ClusterState, Command, CommandBody, LogIndex, OverloadFold, OverloadSettings,
-    Thresholds, WallTime,
+    BrokerOverload, ClusterState, Command, CommandBody, LogIndex, OverloadAggregator,
+    OverloadSettings, Thresholds, WallTime,
 };
 use gingerkeel_domain::feed::OverloadReporter;
 use gingerkeel_domain::identifiers::{BrokerName, ServiceName};
@@ -38,7 +38,7 @@
 
 /// Folds reports second by second.
 struct Harness {
-    fold: OverloadFold,
+    fold: OverloadAggregator,
     settings: OverloadSettings,
     thresholds: Thresholds,
     now: WallTime,
@@ -46,7 +46,7 @@
 
 impl Harness {
     fn new(settings: OverloadSettings) -> Self {
-        let (fold, thresholds) = (OverloadFold::default(), Thresholds::default());
+        let (fold, thresholds) = (OverloadAggregator::default(), Thresholds::default());
         Self { fold, settings, thresholds, now: START }
     }
 
