--- a/crates/domain/src/cluster/overload.rs
+++ b/crates/domain/src/cluster/overload.rs
@@ -23,25 +23,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OverloadSettings {
     /// Refused share of a class, in hundredths, from which it presses.
-    pub pressing_percent: u64,
+    pub refused_percent: u64,
     /// Share of busy slots over all brokers, in hundredths, below which there is room.
-    pub room_percent: u64,
+    pub utilization_percent: u64,
     /// Time with room, without a class that presses, before the threshold falls by one class.
-    pub fall_after: Duration,
+    pub step_down_after: Duration,
     /// Time for which a report counts.
-    pub report_life: Duration,
+    pub report_ttl: Duration,
     /// Time from the last report of a service to the end of its threshold.
-    pub threshold_life: Duration,
+    pub threshold_ttl: Duration,
 }
 
 impl Default for OverloadSettings {
     fn default() -> Self {
         Self {
-            pressing_percent: 5,
-            room_percent: 70,
-            fall_after: Duration::from_secs(5),
-            report_life: Duration::from_secs(3),
-            threshold_life: Duration::from_secs(10),
+            refused_percent: 5,
+            utilization_percent: 70,
+            step_down_after: Duration::from_secs(5),
+            report_ttl: Duration::from_secs(3),
+            threshold_ttl: Duration::from_secs(10),
         }
     }
 }
@@ -88,14 +88,14 @@
         service.brokers.insert(reported.broker.clone(), received);
         let before = thresholds.of(name).map(|threshold| threshold.lowest_admitted);
         let lowest_admitted = service.fold(settings, now, before);
-        let until = now.after(settings.threshold_life);
+        let until = now.after(settings.threshold_ttl);
         let threshold = lowest_admitted.map(|lowest_admitted| Threshold { lowest_admitted, until });
         thresholds.set(name.clone(), threshold);
     }
 
     /// Forgets services that nobody reports on any more.
     pub fn expire(&mut self, settings: &OverloadSettings, now: WallTime) {
-        let lives = |received: &Received| now.since(received.at) < settings.threshold_life;
+        let lives = |received: &Received| now.since(received.at) < settings.threshold_ttl;
         self.services.retain(|_, service| service.brokers.values().any(lives));
     }
 }
@@ -108,7 +108,7 @@
         now: WallTime,
         before: Option<u8>,
     ) -> Option<u8> {
-        self.brokers.retain(|_, received| now.since(received.at) < settings.report_life);
+        self.brokers.retain(|_, received| now.since(received.at) < settings.report_ttl);
         let pressing = self.reports().filter_map(|report| pressing_class(settings, report)).min();
         if let Some(pressing) = pressing
             && before.is_none_or(|before| pressing <= before)
@@ -122,7 +122,7 @@
             return Some(before);
         }
         let room_since = *self.room_since.get_or_insert(now);
-        if now.since(room_since) < settings.fall_after {
+        if now.since(room_since) < settings.step_down_after {
             return Some(before);
         }
         self.room_since = Some(now);
@@ -146,7 +146,7 @@
     fn has_room(&self, settings: &OverloadSettings) -> bool {
         let running: u64 = self.reports().map(|report| u64::from(report.running)).sum();
         let slots: u64 = self.reports().map(|report| u64::from(report.concurrency)).sum();
-        running * 100 < slots * settings.room_percent
+        running * 100 < slots * settings.utilization_percent
     }
 }
 
@@ -157,7 +157,7 @@
     }
     let admitted = report.classes.iter().filter(|class| class.priority <= report.lowest_admitted);
     let pressing = admitted.filter(|class| {
-        class.refused > 0 && class.refused * 100 >= class.offered * settings.pressing_percent
+        class.refused > 0 && class.refused * 100 >= class.offered * settings.refused_percent
     });
     pressing.map(|class| class.priority).min()
 }
--- a/crates/domain/tests/overload_threshold.rs
+++ b/crates/domain/tests/overload_threshold.rs
@@ -96,8 +96,8 @@
     let settings = OverloadSettings::default();
     let mut harness = Harness::new(settings);
     harness.report("b1", report(CONCURRENCY, ADMIT_ALL, &[30, 30, 100]));
-    harness.wait(settings.report_life);
-    for _ in 0..=settings.fall_after.as_secs() {
+    harness.wait(settings.report_ttl);
+    for _ in 0..=settings.step_down_after.as_secs() {
         harness.report("b2", report(1, 0, &[0, 100, 100]));
         harness.wait(SECOND);
     }
@@ -110,11 +110,11 @@
     let mut harness = Harness::new(settings);
     harness.report("b1", report(CONCURRENCY, ADMIT_ALL, &[30, 30, 100]));
     let mut seen = Vec::new();
-    for _ in 0..=2 * settings.fall_after.as_secs() {
+    for _ in 0..=2 * settings.step_down_after.as_secs() {
         harness.wait(SECOND);
         seen.push(harness.report("b1", report(1, harness.lowest_admitted(), &[0, 0, 0])));
     }
-    let step = settings.fall_after.as_secs() as usize;
+    let step = settings.step_down_after.as_secs() as usize;
     assert_eq!(seen[..step], vec![0; step]);
     assert_eq!(seen[step..2 * step], vec![1; step]);
     assert_eq!(seen[2 * step], ADMIT_ALL, "a threshold at the lowest class shuts nothing out");
@@ -151,7 +151,7 @@
 fn a_load_that_swings_changes_the_threshold_once_and_often_without_hysteresis() {
     let settings = OverloadSettings::default();
     assert_eq!(changes_under_a_load_that_swings(settings), 1);
-    let mutant = OverloadSettings { fall_after: Duration::ZERO, ..settings };
+    let mutant = OverloadSettings { step_down_after: Duration::ZERO, ..settings };
     assert!(changes_under_a_load_that_swings(mutant) > 20);
 }
 
@@ -168,7 +168,7 @@
         state.thresholds().of(&service()).map(|threshold| threshold.lowest_admitted)
     };
     assert_eq!(apply(1, START, vec![reported]), Some(1));
-    let life = OverloadSettings::default().threshold_life;
+    let life = OverloadSettings::default().threshold_ttl;
     assert_eq!(apply(2, START.after(life - SECOND), vec![]), Some(1));
     assert_eq!(apply(3, START.after(life), vec![]), None);
 }
