--- a/crates/control/src/cluster_task/membership.rs
+++ b/crates/control/src/cluster_task/membership.rs
@@ -6,7 +6,7 @@
 
 use gingerkeel_domain::cluster::{
     BrokerChange, BrokerOverload, ChargeReport, ClusterState, CommandBody, ControlRenewal,
-    LeafHealth, LeafHealthChange, polled_by,
+    LeafHealth, LeafHealthChange, assigned_poller,
 };
 use gingerkeel_domain::identifiers::{BrokerName, ControlName, LeafId, Revision};
 
@@ -106,7 +106,8 @@
         if self.planned_for.as_ref() == Some(&basis) {
             return None;
         }
-        let own = |leaf: &LeafId| polled_by(*leaf, &basis.controls) == Some(&self.identity.name);
+        let own =
+            |leaf: &LeafId| assigned_poller(*leaf, &basis.controls) == Some(&self.identity.name);
         let leaves = state.catalog().leaves().values().filter(|leaf| own(&leaf.id));
         let leaves = leaves.map(|leaf| PolledLeaf { leaf: leaf.id, address: leaf.address });
         let plan = PollPlan { leaves: leaves.collect() };
--- a/crates/domain/src/cluster/mod.rs
+++ b/crates/domain/src/cluster/mod.rs
@@ -48,7 +48,7 @@
     DepartedBroker, Members,
 };
 pub use overload::{BrokerOverload, OverloadAggregator, OverloadSettings};
-pub use polling::polled_by;
+pub use polling::assigned_poller;
 pub use refused_requests::{RefusedRequest, RefusedRequests};
 pub use rollouts::RolloutEvidence;
 pub use sessions::{OUTCOMES_PER_SESSION, SESSION_LIMIT, SESSION_RETENTION, Sessions};
--- a/crates/domain/src/cluster/polling.rs
+++ b/crates/domain/src/cluster/polling.rs
@@ -5,7 +5,7 @@
 
 /// The control process that polls a leaf, by rendezvous hashing: when one goes, only its own
 /// leaves move. None when there are no control processes.
-pub fn polled_by<'name>(
+pub fn assigned_poller<'name>(
     leaf: LeafId,
     controls: impl IntoIterator<Item = &'name ControlName>,
 ) -> Option<&'name ControlName> {
