--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -397,7 +397,7 @@
             FirstStep::Wait => {}
             FirstStep::Form(configuration) => {
                 info!(event = "cluster_formed", voters = configuration.voters.len());
-                self.node.form(now, configuration);
+                self.node.bootstrap(now, configuration);
                 self.node.tick(now);
             }
             FirstStep::Join(formed, change) => {
@@ -430,7 +430,7 @@
         let Some(growth) = self.planned.growth() else {
             return;
         };
-        let Some(change) = self.node.due_growth(now, &growth) else {
+        let Some(change) = self.node.due_membership_change(now, &growth) else {
             return;
         };
         match self.node.change_members(now, change) {
--- a/crates/domain/src/consensus/node.rs
+++ b/crates/domain/src/consensus/node.rs
@@ -208,11 +208,11 @@
     ///
     /// Only one member of a cluster may do so, once it knows that no other has a log. Without
     /// effect when the log is not empty.
-    pub fn form(&mut self, now: Timestamp, configuration: Configuration) {
+    pub fn bootstrap(&mut self, now: Timestamp, configuration: Configuration) {
         if self.log.last() != LogPosition::default() || self.hard_state != HardState::default() {
             return;
         }
-        let formed = Recovered::formed(configuration);
+        let formed = Recovered::bootstrap(configuration);
         self.set_hard_state(formed.hard_state);
         formed.entries.into_iter().for_each(|entry| self.append_entry(entry));
         self.election_due = now;
--- a/crates/domain/tests/consensus/membership.rs
+++ b/crates/domain/tests/consensus/membership.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::consensus::{
-    Growth, LogIndex, MemberChange, MemberChangeError, Recovered, RoleName,
+    LogIndex, MemberChange, MemberChangeError, MembershipPolicy, Recovered, RoleName,
 };
 use rstest::rstest;
 
@@ -171,12 +171,12 @@
     assert_eq!(outcome, Err(MemberChangeError::NotLeader(Some(member(1)))));
 }
 
-const GROWTH: Growth =
-    Growth { least_voters: 3, most_voters: 4, lost_after: Duration::from_millis(2_000) };
+const GROWTH: MembershipPolicy =
+    MembershipPolicy { min_voters: 3, max_voters: 4, voter_timeout: Duration::from_millis(2_000) };
 
-fn due(lab: &mut Lab, growth: &Growth) -> Option<MemberChange> {
+fn due(lab: &mut Lab, growth: &MembershipPolicy) -> Option<MemberChange> {
     let now = lab.now;
-    lab.node(1).node.due_growth(now, growth)
+    lab.node(1).node.due_membership_change(now, growth)
 }
 
 /// The leader hears from these members alone for longer than a lost one may be silent.
@@ -190,13 +190,13 @@
 fn a_learner_becomes_a_voter_up_to_the_most() {
     let mut lab = with_learner(&ALL);
     assert_eq!(due(&mut lab, &GROWTH), Some(MemberChange::Promote(member(4))));
-    let full = Growth { most_voters: 3, ..GROWTH };
+    let full = MembershipPolicy { max_voters: 3, ..GROWTH };
     assert_eq!(due(&mut lab, &full), None);
 }
 
 #[test]
 fn a_learner_takes_the_place_of_a_lost_voter_before_that_is_taken_out() {
-    let full = Growth { most_voters: 3, ..GROWTH };
+    let full = MembershipPolicy { max_voters: 3, ..GROWTH };
     let mut lab = with_learner(&ALL);
     hear_only(&mut lab, &[1, 2, 4]);
     let promotion = MemberChange::Promote(member(4));
@@ -232,5 +232,5 @@
 fn only_a_leader_sees_a_change_due() {
     let mut lab = with_learner(&ALL);
     let now = lab.now;
-    assert_eq!(lab.node(2).node.due_growth(now, &GROWTH), None);
+    assert_eq!(lab.node(2).node.due_membership_change(now, &GROWTH), None);
 }
