--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -36,7 +36,7 @@
         reply: oneshot::Sender<ReplicationStatus>,
     },
     /// Tell all other control processes what tenants used; no part of the log.
-    TellUsage(PeerUsage),
+    BroadcastUsage(PeerUsage),
     /// Tell the other control processes which leaves to avoid.
     TellWarnings(Vec<LeafWarning>),
 }
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -195,7 +195,7 @@
                 // The asker may have given up.
                 let _ = reply.send(self.status());
             }
-            ReplicationMessage::TellUsage(usage) => self.links.tell_usage(&usage),
+            ReplicationMessage::BroadcastUsage(usage) => self.links.tell_usage(&usage),
             ReplicationMessage::TellWarnings(warnings) => self.links.tell_warnings(&warnings),
         }
     }
--- a/crates/control/src/replication_client.rs
+++ b/crates/control/src/replication_client.rs
@@ -56,7 +56,7 @@
     /// told later.
     pub fn tell_usage(&self, usage: PeerUsage) {
         // The log ends with the process.
-        let _ = self.log.send(ReplicationMessage::TellUsage(usage));
+        let _ = self.log.send(ReplicationMessage::BroadcastUsage(usage));
     }
 
     /// Has the other control processes told which leaves to avoid. What cannot be told is lost: a warning ends by
