--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -38,7 +38,7 @@
     /// Tell all other control processes what tenants used; no part of the log.
     BroadcastUsage(PeerUsage),
     /// Tell the other control processes which leaves to avoid.
-    TellWarnings(Vec<LeafWarning>),
+    BroadcastLeafWarnings(Vec<LeafWarning>),
 }
 
 /// A message to the task of the state machine.
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -196,7 +196,9 @@
                 let _ = reply.send(self.status());
             }
             ReplicationMessage::BroadcastUsage(usage) => self.links.tell_usage(&usage),
-            ReplicationMessage::TellWarnings(warnings) => self.links.tell_warnings(&warnings),
+            ReplicationMessage::BroadcastLeafWarnings(warnings) => {
+                self.links.tell_warnings(&warnings)
+            }
         }
     }
 
--- a/crates/control/src/replication_client.rs
+++ b/crates/control/src/replication_client.rs
@@ -63,7 +63,7 @@
     /// itself.
     pub fn tell_warnings(&self, warnings: Vec<LeafWarning>) {
         // As above.
-        let _ = self.log.send(ReplicationMessage::TellWarnings(warnings));
+        let _ = self.log.send(ReplicationMessage::BroadcastLeafWarnings(warnings));
     }
 
     /// The role of this process in the cluster; none while the log ends.
