--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -14,7 +14,7 @@
 use local_sync::mpsc::unbounded::Tx;
 
 use super::{ClusterMessage, ClusterTask, SubscriberIdentity};
-use crate::replication::PeerUse;
+use crate::replication::PeerUsageReport;
 
 /// Time between two rounds. A tenant that sends more than its quota has it exceeded by what it sends in
 /// about two of them.
@@ -104,7 +104,7 @@
     }
 
     /// Another control process told its totals.
-    pub fn peer_used(&mut self, now: Timestamp, used: &PeerUse) {
+    pub fn peer_used(&mut self, now: Timestamp, used: &PeerUsageReport) {
         self.fold.peer(now, &used.control, &used.usage);
     }
 
--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -69,14 +69,14 @@
         reply: oneshot::Sender<StateSnapshot>,
     },
     /// Another control process told what tenants used; no part of the log.
-    PeerUsed(PeerUse),
+    PeerUsed(PeerUsageReport),
     /// Another control process told which leaves to avoid; no part of the log.
     PeerWarned(Vec<LeafWarning>),
 }
 
 /// What tenants used at the brokers of another control process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerUse {
+pub struct PeerUsageReport {
     /// The other control process.
     pub control: ControlName,
     /// What it told.
@@ -133,7 +133,7 @@
     /// A message of a peer.
     Received(Envelope),
     /// A peer told what tenants used.
-    PeerUsed(MemberId, PeerUse),
+    PeerUsed(MemberId, PeerUsageReport),
     /// A peer told which leaves to avoid.
     PeerWarned(MemberId, Vec<LeafWarning>),
     /// A peer said who it is.
--- a/crates/control/src/replication/mod.rs
+++ b/crates/control/src/replication/mod.rs
@@ -22,7 +22,7 @@
 
 pub use error::{ChangeError, ProposeError, ReadError, StartError};
 pub use messages::{
-    MemberStatus, PeerUse, ReplicationMessage, ReplicationStatus, StateMachineMessage,
+    MemberStatus, PeerUsageReport, ReplicationMessage, ReplicationStatus, StateMachineMessage,
     StateSnapshot,
 };
 
--- a/crates/control/src/replication/peers/incoming.rs
+++ b/crates/control/src/replication/peers/incoming.rs
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 
 use super::directory::{Directory, member};
-use crate::replication::messages::{PeerUse, TaskEvent};
+use crate::replication::messages::{PeerUsageReport, TaskEvent};
 
 /// Time that a process has to say who it is, and between two messages after that.
 const SILENCE_LIMIT: Duration = Duration::from_secs(10);
@@ -96,10 +96,13 @@
     Ok(())
 }
 
-fn understand_usage(control: &ShortText, usage: &Document) -> Result<PeerUse, ProtocolError> {
+fn understand_usage(
+    control: &ShortText,
+    usage: &Document,
+) -> Result<PeerUsageReport, ProtocolError> {
     let name = control.text().map(ControlName::new);
     let control = name.ok_or_else(|| ProtocolError::Malformed("a sender without a name".into()))?;
-    Ok(PeerUse { control, usage: decode_document(&usage.bytes)? })
+    Ok(PeerUsageReport { control, usage: decode_document(&usage.bytes)? })
 }
 
 /// Takes the greeting; gives the peer if it is welcome.
