--- a/crates/control/src/cluster_task/mod.rs
+++ b/crates/control/src/cluster_task/mod.rs
@@ -221,7 +221,7 @@
             StateMachineMessage::PeerWarned(warnings) => {
                 self.subscribers.peer_warned(self.clock.now(), &warnings)
             }
-            StateMachineMessage::PeerUsed(used) => {
+            StateMachineMessage::PeerUsageReceived(used) => {
                 self.quota_use.peer_used(self.clock.now(), &used)
             }
         }
--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -69,7 +69,7 @@
         reply: oneshot::Sender<StateSnapshot>,
     },
     /// Another control process told what tenants used; no part of the log.
-    PeerUsed(PeerUsageReport),
+    PeerUsageReceived(PeerUsageReport),
     /// Another control process told which leaves to avoid; no part of the log.
     PeerWarned(Vec<LeafWarning>),
 }
@@ -133,7 +133,7 @@
     /// A message of a peer.
     Received(Envelope),
     /// A peer told what tenants used.
-    PeerUsed(MemberId, PeerUsageReport),
+    PeerUsageReceived(MemberId, PeerUsageReport),
     /// A peer told which leaves to avoid.
     PeerWarned(MemberId, Vec<LeafWarning>),
     /// A peer said who it is.
--- a/crates/control/src/replication/peers/incoming.rs
+++ b/crates/control/src/replication/peers/incoming.rs
@@ -80,7 +80,7 @@
             }
             PeerFrame::Usage { control, usage } => {
                 let used = understand_usage(&control, &usage)?;
-                if events.send(TaskEvent::PeerUsed(peer, used)).is_err() {
+                if events.send(TaskEvent::PeerUsageReceived(peer, used)).is_err() {
                     return Ok(());
                 }
             }
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -156,8 +156,8 @@
             TaskEvent::Request(request) => self.handle_request(request),
             TaskEvent::RequestsEnded => self.ended = true,
             TaskEvent::Received(envelope) => self.handle_envelope(envelope),
-            TaskEvent::PeerUsed(peer, used) => {
-                self.pass_on(peer, StateMachineMessage::PeerUsed(used))
+            TaskEvent::PeerUsageReceived(peer, used) => {
+                self.pass_on(peer, StateMachineMessage::PeerUsageReceived(used))
             }
             TaskEvent::PeerWarned(peer, warnings) => {
                 self.pass_on(peer, StateMachineMessage::PeerWarned(warnings))
--- a/crates/rehearsal/src/log_member/words.rs
+++ b/crates/rehearsal/src/log_member/words.rs
@@ -77,7 +77,7 @@
             }
             // Words have no quotas, no leaves, and count once they are accepted.
             WordsMessage::Log(
-                StateMachineMessage::PeerUsed(_)
+                StateMachineMessage::PeerUsageReceived(_)
                 | StateMachineMessage::PeerWarned(_)
                 | StateMachineMessage::Unconfirmed { .. },
             ) => {}
