--- a/crates/control/src/cluster_task/mod.rs
+++ b/crates/control/src/cluster_task/mod.rs
@@ -218,7 +218,7 @@
                 }
                 Err(error) => error!(event = "snapshot_not_encoded", %error),
             },
-            StateMachineMessage::PeerWarned(warnings) => {
+            StateMachineMessage::PeerWarningsReceived(warnings) => {
                 self.subscribers.peer_warned(self.clock.now(), &warnings)
             }
             StateMachineMessage::PeerUsageReceived(used) => {
--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -71,7 +71,7 @@
     /// Another control process told what tenants used; no part of the log.
     PeerUsageReceived(PeerUsageReport),
     /// Another control process told which leaves to avoid; no part of the log.
-    PeerWarned(Vec<LeafWarning>),
+    PeerWarningsReceived(Vec<LeafWarning>),
 }
 
 /// What tenants used at the brokers of another control process.
@@ -135,7 +135,7 @@
     /// A peer told what tenants used.
     PeerUsageReceived(MemberId, PeerUsageReport),
     /// A peer told which leaves to avoid.
-    PeerWarned(MemberId, Vec<LeafWarning>),
+    PeerWarningsReceived(MemberId, Vec<LeafWarning>),
     /// A peer said who it is.
     PeerKnown,
     /// The writer has events.
--- a/crates/control/src/replication/peers/incoming.rs
+++ b/crates/control/src/replication/peers/incoming.rs
@@ -86,7 +86,7 @@
             }
             PeerFrame::LeafWarnings { warnings } => {
                 let warnings = decode_document(&warnings.bytes)?;
-                if events.send(TaskEvent::PeerWarned(peer, warnings)).is_err() {
+                if events.send(TaskEvent::PeerWarningsReceived(peer, warnings)).is_err() {
                     return Ok(());
                 }
             }
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -159,8 +159,8 @@
             TaskEvent::PeerUsageReceived(peer, used) => {
                 self.pass_on(peer, StateMachineMessage::PeerUsageReceived(used))
             }
-            TaskEvent::PeerWarned(peer, warnings) => {
-                self.pass_on(peer, StateMachineMessage::PeerWarned(warnings))
+            TaskEvent::PeerWarningsReceived(peer, warnings) => {
+                self.pass_on(peer, StateMachineMessage::PeerWarningsReceived(warnings))
             }
             TaskEvent::PeerKnown => self.maintenance_due = self.clock.now(),
             TaskEvent::WriterWoke => self.handle_writer(),
--- a/crates/rehearsal/src/log_member/words.rs
+++ b/crates/rehearsal/src/log_member/words.rs
@@ -78,7 +78,7 @@
             // Words have no quotas, no leaves, and count once they are accepted.
             WordsMessage::Log(
                 StateMachineMessage::PeerUsageReceived(_)
-                | StateMachineMessage::PeerWarned(_)
+                | StateMachineMessage::PeerWarningsReceived(_)
                 | StateMachineMessage::Unconfirmed { .. },
             ) => {}
             WordsMessage::Read { index, reply } => self.waiting.push(WaitingRead { index, reply }),
