--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -19,7 +19,7 @@
             display("{}: another process uses this data folder: stop it, or name another data_folder", path.display())
         }
         /// The folder belongs to another cluster.
-        OtherCluster(path: PathBuf, found: String, expected: String) {
+        ClusterMismatch(path: PathBuf, found: String, expected: String) {
             display("{}: the data folder is of cluster {found}, not {expected}: name the right data_folder, or the right cluster in the settings", path.display())
         }
         /// The folder belongs to another machine.
--- a/crates/control/src/storage/identity.rs
+++ b/crates/control/src/storage/identity.rs
@@ -101,7 +101,7 @@
         decode_document(document).map_err(|_| damaged("not an identity"))?;
     if document.cluster != owner.cluster {
         let (found, expected) = (document.cluster, owner.cluster.clone());
-        return Err(StorageError::OtherCluster(path.to_owned(), found, expected));
+        return Err(StorageError::ClusterMismatch(path.to_owned(), found, expected));
     }
     let (found, expected) = (document.member.node, owner.node);
     if found != expected {
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -217,7 +217,7 @@
 #[rstest]
 #[case::cluster(
     FolderOwner { cluster: "other".into(), ..owner() },
-    |error: &StorageError| matches!(error, StorageError::OtherCluster(..))
+    |error: &StorageError| matches!(error, StorageError::ClusterMismatch(..))
 )]
 #[case::node(
     FolderOwner { node: NodeNumber(2), ..owner() },
