--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -23,7 +23,7 @@
             display("{}: the data folder is of cluster {found}, not {expected}: name the right data_folder, or the right cluster in the settings", path.display())
         }
         /// The folder belongs to another machine.
-        OtherNode(path: PathBuf, found: u32, expected: u32) {
+        NodeMismatch(path: PathBuf, found: u32, expected: u32) {
             display("{}: the data folder is of node {found}, not {expected}: never copy a data folder; name the right data_folder, or the right node in the settings", path.display())
         }
         /// The folder was written by a release with another format.
--- a/crates/control/src/storage/identity.rs
+++ b/crates/control/src/storage/identity.rs
@@ -105,7 +105,7 @@
     }
     let (found, expected) = (document.member.node, owner.node);
     if found != expected {
-        return Err(StorageError::OtherNode(path.to_owned(), found.0, expected.0));
+        return Err(StorageError::NodeMismatch(path.to_owned(), found.0, expected.0));
     }
     Ok((version, document))
 }
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -221,7 +221,7 @@
 )]
 #[case::node(
     FolderOwner { node: NodeNumber(2), ..owner() },
-    |error: &StorageError| matches!(error, StorageError::OtherNode(..))
+    |error: &StorageError| matches!(error, StorageError::NodeMismatch(..))
 )]
 fn anothers_folder_is_refused(
     #[case] other: FolderOwner,
