--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -27,7 +27,7 @@
             display("{}: the data folder is of node {found}, not {expected}: never copy a data folder; name the right data_folder, or the right node in the settings", path.display())
         }
         /// The folder was written by a release with another format.
-        OtherFormat(path: PathBuf, found: u16, expected: u16) {
+        UnsupportedFormat(path: PathBuf, found: u16, expected: u16) {
             display("{}: the data folder has format {found}, this release reads {expected}: start the release that wrote it", path.display())
         }
         /// Something that was synced is not what was written.
--- a/crates/control/src/storage/identity.rs
+++ b/crates/control/src/storage/identity.rs
@@ -94,7 +94,7 @@
     let (version, rest) = rest.split_first_chunk::<2>().ok_or(damaged("no format version"))?;
     let version = u16::from_be_bytes(*version);
     if !(FORMER_VERSION..=FORMAT_VERSION).contains(&version) {
-        return Err(StorageError::OtherFormat(path.to_owned(), version, FORMAT_VERSION));
+        return Err(StorageError::UnsupportedFormat(path.to_owned(), version, FORMAT_VERSION));
     }
     let document = without_checksum(rest).ok_or(damaged("wrong checksum"))?;
     let document: IdentityDocument =
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -252,7 +252,7 @@
     let (found, own) = (FORMAT_VERSION + 1, FORMAT_VERSION);
     let error = open(folder.path()).err();
     assert!(
-        matches!(error, Some(StorageError::OtherFormat(_, version, known)) if (version, known) == (found, own))
+        matches!(error, Some(StorageError::UnsupportedFormat(_, version, known)) if (version, known) == (found, own))
     );
 }
 
