--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -31,7 +31,7 @@
             display("{}: the data folder has format {found}, this release reads {expected}: start the release that wrote it", path.display())
         }
         /// Something that was synced is not what was written.
-        Damaged(path: PathBuf, offset: u64, reason: &'static str) {
+        Corrupted(path: PathBuf, offset: u64, reason: &'static str) {
             display("{}: damaged at byte {offset} ({reason}): move the data folder away and start with an empty one, so that the machine rejoins as a new member", path.display())
         }
         /// The disk is full; nothing of the batch counts, all before it does.
--- a/crates/control/src/storage/identity.rs
+++ b/crates/control/src/storage/identity.rs
@@ -76,7 +76,7 @@
 ) -> Result<(), StorageError> {
     let path = folder.join(FILE);
     let document = encode_document(document)
-        .map_err(|_| StorageError::Damaged(path.clone(), 0, "the identity cannot be written"))?;
+        .map_err(|_| StorageError::Corrupted(path.clone(), 0, "the identity cannot be written"))?;
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&FORMAT_VERSION.to_be_bytes());
     bytes.extend_from_slice(&with_checksum(&document));
@@ -89,7 +89,7 @@
     bytes: &[u8],
     owner: &FolderOwner,
 ) -> Result<(u16, IdentityDocument), StorageError> {
-    let damaged = |reason| StorageError::Damaged(path.to_owned(), 0, reason);
+    let damaged = |reason| StorageError::Corrupted(path.to_owned(), 0, reason);
     let rest = bytes.strip_prefix(MAGIC).ok_or(damaged("not an identity file"))?;
     let (version, rest) = rest.split_first_chunk::<2>().ok_or(damaged("no format version"))?;
     let version = u16::from_be_bytes(*version);
--- a/crates/control/src/storage/recovery.rs
+++ b/crates/control/src/storage/recovery.rs
@@ -45,7 +45,7 @@
             log.next_sequence = file.number;
         }
         if file.number != log.next_sequence {
-            return Err(StorageError::Damaged(file.path, 0, "a segment before it is missing"));
+            return Err(StorageError::Corrupted(file.path, 0, "a segment before it is missing"));
         }
         log.read_segment(io, file, position + 1 == count)?;
     }
@@ -70,7 +70,7 @@
             };
             if record.sequence != self.next_sequence {
                 let path = segment.file.path;
-                return Err(StorageError::Damaged(path, offset as u64, "a record is missing"));
+                return Err(StorageError::Corrupted(path, offset as u64, "a record is missing"));
             }
             self.next_sequence += 1;
             for write in record.writes {
@@ -118,7 +118,7 @@
         entries.retain(|entry| entry.index > position.index);
         let indexes = (position.index.0 + 1..).map(LogIndex);
         if !entries.iter().zip(indexes).all(|(entry, index)| entry.index == index) {
-            return Err(StorageError::Damaged(folder.to_owned(), 0, "entries are missing"));
+            return Err(StorageError::Corrupted(folder.to_owned(), 0, "entries are missing"));
         }
         Ok(Recovered { hard_state: self.hard_state, snapshot, entries, commit: self.commit })
     }
@@ -135,7 +135,7 @@
     // A record after the damage was synced later, so that the damaged one had been synced, too.
     if !is_last || Record::is_in(&bytes[offset + 1..]) {
         let reason = "a record that was synced is not whole";
-        return Err(StorageError::Damaged(path.to_owned(), offset as u64, reason));
+        return Err(StorageError::Corrupted(path.to_owned(), offset as u64, reason));
     }
     let unusable = |error| StorageError::unusable(path, error);
     let file = OpenOptions::new().write(true).open(path).map_err(unusable)?;
--- a/crates/control/src/storage/snapshot_file.rs
+++ b/crates/control/src/storage/snapshot_file.rs
@@ -23,7 +23,7 @@
     let number = snapshot.metadata.position.index.0;
     let file = NumberedFile::new(folder, PREFIX, number);
     let document = encode_document(snapshot).map_err(|_| {
-        StorageError::Damaged(file.path.clone(), 0, "the snapshot cannot be written")
+        StorageError::Corrupted(file.path.clone(), 0, "the snapshot cannot be written")
     })?;
     replace_file(io, folder, &file.path, &with_checksum(&document))?;
     for earlier in numbered_files(folder, PREFIX)?.iter().filter(|other| other.number < number) {
@@ -39,7 +39,7 @@
     let Some(file) = files.last() else {
         return Ok(None);
     };
-    let damaged = |reason| StorageError::Damaged(file.path.clone(), 0, reason);
+    let damaged = |reason| StorageError::Corrupted(file.path.clone(), 0, reason);
     let bytes = fs::read(&file.path).map_err(|error| StorageError::unusable(&file.path, error))?;
     let document = without_checksum(&bytes).ok_or(damaged("wrong checksum"))?;
     decode_document(document).map(Some).map_err(|_| damaged("not a snapshot"))
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -188,7 +188,7 @@
     bytes[at] ^= 0x01;
     fs::write(&path, bytes).expect("writable");
     let error = open(folder.path()).err().expect("it is refused");
-    assert!(matches!(error, StorageError::Damaged(..)), "{error}");
+    assert!(matches!(error, StorageError::Corrupted(..)), "{error}");
     assert!(error.to_string().contains("rejoins as a new member"), "{error}");
 }
 
@@ -200,7 +200,7 @@
         opened.storage.persist(vec![write(vec![entry(1, index)])]).expect("persisted");
     }
     fs::remove_file(&segments(folder.path())[1]).expect("removed");
-    assert!(matches!(open(folder.path()).err(), Some(StorageError::Damaged(..))));
+    assert!(matches!(open(folder.path()).err(), Some(StorageError::Corrupted(..))));
 }
 
 #[test]
@@ -211,7 +211,7 @@
     let mut bytes = fs::read(&path).expect("readable");
     bytes[6] ^= 0xff;
     fs::write(&path, bytes).expect("writable");
-    assert!(matches!(open(folder.path()).err(), Some(StorageError::Damaged(..))));
+    assert!(matches!(open(folder.path()).err(), Some(StorageError::Corrupted(..))));
 }
 
 #[rstest]
