--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -10,7 +10,7 @@
     #[derive(Debug)]
     pub enum StorageError {
         /// A file or the folder cannot be read or written.
-        Unusable(path: PathBuf, error: io::Error) {
+        Io(path: PathBuf, error: io::Error) {
             source(error)
             display("{}: {error}: check that the folder exists, belongs to this user and is on a healthy disk", path.display())
         }
@@ -57,7 +57,7 @@
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
                 Self::Full(path.to_owned())
             }
-            _ => Self::Unusable(path.to_owned(), error),
+            _ => Self::Io(path.to_owned(), error),
         }
     }
 
--- a/crates/control/src/storage/storage_folder.rs
+++ b/crates/control/src/storage/storage_folder.rs
@@ -165,7 +165,7 @@
             // What was written in part must not stand before the next try.
             return match open.file.set_len(open.length) {
                 Ok(()) => Err(error),
-                Err(cause) => Err(StorageError::Unusable(path.clone(), cause)),
+                Err(cause) => Err(StorageError::Io(path.clone(), cause)),
             };
         }
         self.io.sync(&open.file).map_err(|error| StorageError::SyncFailed(path.clone(), error))?;
