--- a/crates/control/src/cluster_task/mod.rs
+++ b/crates/control/src/cluster_task/mod.rs
@@ -218,10 +218,10 @@
                 }
                 Err(error) => error!(event = "snapshot_not_encoded", %error),
             },
-            StateMachineMessage::PeerWarned(warnings) => {
+            StateMachineMessage::PeerWarningsReceived(warnings) => {
                 self.subscribers.peer_warned(self.clock.now(), &warnings)
             }
-            StateMachineMessage::PeerUsed(used) => {
+            StateMachineMessage::PeerUsageReceived(used) => {
                 self.quota_use.peer_used(self.clock.now(), &used)
             }
         }
--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -36,9 +36,9 @@
         reply: oneshot::Sender<ReplicationStatus>,
     },
     /// Tell all other control processes what tenants used; no part of the log.
-    TellUsage(PeerUsage),
+    BroadcastUsage(PeerUsage),
     /// Tell the other control processes which leaves to avoid.
-    TellWarnings(Vec<LeafWarning>),
+    BroadcastLeafWarnings(Vec<LeafWarning>),
 }
 
 /// A message to the task of the state machine.
@@ -69,14 +69,14 @@
         reply: oneshot::Sender<StateSnapshot>,
     },
     /// Another control process told what tenants used; no part of the log.
-    PeerUsed(PeerUse),
+    PeerUsageReceived(PeerUsageReport),
     /// Another control process told which leaves to avoid; no part of the log.
-    PeerWarned(Vec<LeafWarning>),
+    PeerWarningsReceived(Vec<LeafWarning>),
 }
 
 /// What tenants used at the brokers of another control process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerUse {
+pub struct PeerUsageReport {
     /// The other control process.
     pub control: ControlName,
     /// What it told.
@@ -133,9 +133,9 @@
     /// A message of a peer.
     Received(Envelope),
     /// A peer told what tenants used.
-    PeerUsed(MemberId, PeerUse),
+    PeerUsageReceived(MemberId, PeerUsageReport),
     /// A peer told which leaves to avoid.
-    PeerWarned(MemberId, Vec<LeafWarning>),
+    PeerWarningsReceived(MemberId, Vec<LeafWarning>),
     /// A peer said who it is.
     PeerKnown,
     /// The writer has events.
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -156,11 +156,11 @@
             TaskEvent::Request(request) => self.handle_request(request),
             TaskEvent::RequestsEnded => self.ended = true,
             TaskEvent::Received(envelope) => self.handle_envelope(envelope),
-            TaskEvent::PeerUsed(peer, used) => {
-                self.pass_on(peer, StateMachineMessage::PeerUsed(used))
+            TaskEvent::PeerUsageReceived(peer, used) => {
+                self.pass_on(peer, StateMachineMessage::PeerUsageReceived(used))
             }
-            TaskEvent::PeerWarned(peer, warnings) => {
-                self.pass_on(peer, StateMachineMessage::PeerWarned(warnings))
+            TaskEvent::PeerWarningsReceived(peer, warnings) => {
+                self.pass_on(peer, StateMachineMessage::PeerWarningsReceived(warnings))
             }
             TaskEvent::PeerKnown => self.maintenance_due = self.clock.now(),
             TaskEvent::WriterWoke => self.handle_writer(),
@@ -195,8 +195,10 @@
                 // The asker may have given up.
                 let _ = reply.send(self.status());
             }
-            ReplicationMessage::TellUsage(usage) => self.links.tell_usage(&usage),
-            ReplicationMessage::TellWarnings(warnings) => self.links.tell_warnings(&warnings),
+            ReplicationMessage::BroadcastUsage(usage) => self.links.tell_usage(&usage),
+            ReplicationMessage::BroadcastLeafWarnings(warnings) => {
+                self.links.tell_warnings(&warnings)
+            }
         }
     }
 
--- a/crates/control/src/replication_client.rs
+++ b/crates/control/src/replication_client.rs
@@ -56,14 +56,14 @@
     /// told later.
     pub fn tell_usage(&self, usage: PeerUsage) {
         // The log ends with the process.
-        let _ = self.log.send(ReplicationMessage::TellUsage(usage));
+        let _ = self.log.send(ReplicationMessage::BroadcastUsage(usage));
     }
 
     /// Has the other control processes told which leaves to avoid. What cannot be told is lost: a warning ends by
     /// itself.
     pub fn tell_warnings(&self, warnings: Vec<LeafWarning>) {
         // As above.
-        let _ = self.log.send(ReplicationMessage::TellWarnings(warnings));
+        let _ = self.log.send(ReplicationMessage::BroadcastLeafWarnings(warnings));
     }
 
     /// The role of this process in the cluster; none while the log ends.
--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -10,7 +10,7 @@
     #[derive(Debug)]
     pub enum StorageError {
         /// A file or the folder cannot be read or written.
-        Unusable(path: PathBuf, error: io::Error) {
+        Io(path: PathBuf, error: io::Error) {
             source(error)
             display("{}: {error}: check that the folder exists, belongs to this user and is on a healthy disk", path.display())
         }
@@ -19,19 +19,19 @@
             display("{}: another process uses this data folder: stop it, or name another data_folder", path.display())
         }
         /// The folder belongs to another cluster.
-        OtherCluster(path: PathBuf, found: String, expected: String) {
+        ClusterMismatch(path: PathBuf, found: String, expected: String) {
             display("{}: the data folder is of cluster {found}, not {expected}: name the right data_folder, or the right cluster in the settings", path.display())
         }
         /// The folder belongs to another machine.
-        OtherNode(path: PathBuf, found: u32, expected: u32) {
+        NodeMismatch(path: PathBuf, found: u32, expected: u32) {
             display("{}: the data folder is of node {found}, not {expected}: never copy a data folder; name the right data_folder, or the right node in the settings", path.display())
         }
         /// The folder was written by a release with another format.
-        OtherFormat(path: PathBuf, found: u16, expected: u16) {
+        UnsupportedFormat(path: PathBuf, found: u16, expected: u16) {
             display("{}: the data folder has format {found}, this release reads {expected}: start the release that wrote it", path.display())
         }
         /// Something that was synced is not what was written.
-        Damaged(path: PathBuf, offset: u64, reason: &'static str) {
+        Corrupted(path: PathBuf, offset: u64, reason: &'static str) {
             display("{}: damaged at byte {offset} ({reason}): move the data folder away and start with an empty one, so that the machine rejoins as a new member", path.display())
         }
         /// The disk is full; nothing of the batch counts, all before it does.
@@ -57,7 +57,7 @@
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
                 Self::Full(path.to_owned())
             }
-            _ => Self::Unusable(path.to_owned(), error),
+            _ => Self::Io(path.to_owned(), error),
         }
     }
 
--- a/crates/rehearsal/src/log_member/words.rs
+++ b/crates/rehearsal/src/log_member/words.rs
@@ -77,8 +77,8 @@
             }
             // Words have no quotas, no leaves, and count once they are accepted.
             WordsMessage::Log(
-                StateMachineMessage::PeerUsed(_)
-                | StateMachineMessage::PeerWarned(_)
+                StateMachineMessage::PeerUsageReceived(_)
+                | StateMachineMessage::PeerWarningsReceived(_)
                 | StateMachineMessage::Unconfirmed { .. },
             ) => {}
             WordsMessage::Read { index, reply } => self.waiting.push(WaitingRead { index, reply }),
