--- a/crates/control/src/replication/error.rs
+++ b/crates/control/src/replication/error.rs
@@ -1,4 +1,4 @@
-//! Reasons why the log refuses a request, or does not start.
+//! Errors of the replicated log: at start, and in answers to requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,25 +35,25 @@
     /// A command that was refused, or whose outcome is not known.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ProposeError {
-        /// The core refused it: it was not taken.
+        /// The consensus core refused the command; it is not in the log.
         Refused(error: consensus::ProposeError) {
             from()
             source(error)
             display("{error}")
         }
-        /// The disk takes no writes: it was not taken.
+        /// The disk accepts no writes; the command is not in the log.
         Storage(reason: String) {
             display("{reason}")
         }
-        /// The leader changed before it was accepted; it may be accepted all the same.
+        /// The leader changed before the command was committed; it may still be committed.
         Dropped {
             display("the leader changed before the change was accepted: send it again with the same session and sequence number")
         }
-        /// No quorum took it in time; it may be accepted all the same.
+        /// No quorum acknowledged the command in time; it may still be committed.
         NoQuorum {
             display("no quorum of control processes took the change in time: send it again with the same session and sequence number, or ask another control process")
         }
-        /// The process is stopping; the command may be accepted all the same.
+        /// The process is stopping; the command may still be committed.
         Stopping {
             display("this control process is stopping: send the change again with the same session and sequence number to another one")
         }
@@ -64,7 +64,7 @@
     /// A read that was not confirmed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ReadError {
-        /// No quorum confirmed it.
+        /// The consensus core could not have the read confirmed.
         Unconfirmed(error: consensus::ReadError) {
             from()
             source(error)
@@ -82,16 +82,17 @@
 }
 
 quick_error! {
-    /// A change of the members that was refused, or whose outcome is not known.
+    /// A membership change that was refused, or whose outcome is not known.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ChangeError {
-        /// The leader refused it: nothing was changed.
+        /// The leader refused the change; the membership is unchanged.
         Refused(error: consensus::MemberChangeError) {
             from()
             source(error)
             display("{error}")
         }
-        /// The leader changed, or did not answer; look the members up before asking again.
+        /// The leader changed or did not answer, so the outcome is unknown: check the members
+        /// before retrying.
         Dropped {
             display("the leader changed before the change was accepted: look the members up by SHOW STATUS, and ask again if it is not made")
         }
--- a/crates/control/src/replication/membership.rs
+++ b/crates/control/src/replication/membership.rs
@@ -7,8 +7,8 @@
 
 use super::peers::Directory;
 
-/// The members by the settings.
-pub(super) struct PlannedMembers {
+/// The members that the settings name, and whether the cluster may grow by itself.
+pub(super) struct ConfiguredMembers {
     own: MemberId,
     voters: Vec<NodeNumber>,
     /// Whether this process may form a cluster.
@@ -16,17 +16,17 @@
     growth: Option<Growth>,
 }
 
-/// What a process without a log does next.
-pub(super) enum FirstStep {
-    /// Wait for the others.
+/// The next step of a process whose log is empty.
+pub(super) enum BootstrapStep {
+    /// Wait for other processes to report their state.
     Wait,
-    /// Form the cluster.
+    /// Form a cluster with these voters.
     Form(Configuration),
-    /// Ask a member for a place as a learner.
+    /// Ask this member to add the process as a learner.
     Join(MemberId, MemberChange),
 }
 
-impl PlannedMembers {
+impl ConfiguredMembers {
     pub fn new(settings: &ControlSettings, own: MemberId) -> Self {
         let voters = settings.peers.iter().filter(|peer| peer.voter);
         let mut voters: Vec<NodeNumber> = voters.map(|peer| NodeNumber(peer.node)).collect();
@@ -46,31 +46,36 @@
         Self { own, voters, may_form, growth }
     }
 
-    /// The machines that form the cluster.
+    /// The nodes that form the cluster as its first voters.
     pub fn voters(&self) -> impl Iterator<Item = NodeNumber> + '_ {
         self.voters.iter().copied()
     }
 
-    /// How the cluster grows; none when operators name its members.
+    /// The rules for automatic growth; none when the settings list the members.
     pub fn growth(&self) -> Option<Growth> {
         self.growth
     }
 
-    /// The first voter forms the cluster, and only once every other voter has said that it has no
-    /// log and knows the same voters: a machine that lost its disk meets others that have a log,
-    /// and joins them; one with other settings forms nothing.
-    pub fn first_step(&self, directory: &Directory) -> FirstStep {
+    /// Decides how this process becomes a member.
+    ///
+    /// Only the voter with the lowest number forms the cluster, and only once every other voter has
+    /// reported an empty log and the same list of voters. A node that lost its disk therefore finds
+    /// peers with a log and joins them, and a node with different settings cannot form a second
+    /// cluster.
+    pub fn bootstrap_step(&self, directory: &Directory) -> BootstrapStep {
         if let Some(formed) = directory.any_formed() {
-            return FirstStep::Join(formed, MemberChange::AddLearner(self.own));
+            return BootstrapStep::Join(formed, MemberChange::AddLearner(self.own));
         }
         if !self.may_form || self.voters.first() != Some(&self.own.node) {
-            return FirstStep::Wait;
+            return BootstrapStep::Wait;
         }
         let identity = |node: &NodeNumber| match *node == self.own.node {
             true => Some(self.own),
             false => directory.latest_with_same_voters(*node).map(super::peers::member),
         };
         let voters: Option<Vec<MemberId>> = self.voters.iter().map(identity).collect();
-        voters.map_or(FirstStep::Wait, |voters| FirstStep::Form(Configuration::of_voters(voters)))
+        voters.map_or(BootstrapStep::Wait, |voters| {
+            BootstrapStep::Form(Configuration::of_voters(voters))
+        })
     }
 }
--- a/crates/control/src/replication/messages.rs
+++ b/crates/control/src/replication/messages.rs
@@ -10,136 +10,137 @@
 
 /// A request to the replicated log.
 pub enum ReplicationMessage {
-    /// Replicate a command; on a follower it is handed to the leader. What the command did comes
-    /// by the state machine, which matches session and sequence itself.
+    /// Replicate a command; a follower forwards it to the leader. The result of the command is
+    /// delivered by the state machine, which matches session and sequence number.
     Propose {
-        /// The command.
+        /// The encoded command.
         command: Vec<u8>,
-        /// `Ok` once it is accepted, or handed to the leader.
+        /// `Ok` once the command is committed, or forwarded to the leader.
         reply: oneshot::Sender<Result<(), ProposeError>>,
     },
-    /// Have a quorum confirm what is accepted.
+    /// Confirm the commit index by a quorum, for a linearizable read.
     ConfirmRead {
-        /// The index that the state machine must have applied before it answers.
+        /// The index that the state machine must have applied before it serves the read.
         reply: oneshot::Sender<Result<LogIndex, ReadError>>,
     },
-    /// Change the members.
+    /// Change the membership.
     ChangeMembers {
-        /// The change.
+        /// The member to add, promote or remove.
         change: MemberChange,
-        /// `Ok` once it is accepted.
+        /// `Ok` once the change is committed.
         reply: oneshot::Sender<Result<(), ChangeError>>,
     },
-    /// How the log stands.
+    /// Report role, term, members and log positions.
     Status {
-        /// Where the answer goes.
+        /// Receives the status.
         reply: oneshot::Sender<ReplicationStatus>,
     },
-    /// Tell all other control processes what tenants used; no part of the log.
+    /// Send tenants' usage to all other control processes, outside the log.
     BroadcastUsage(PeerUsage),
-    /// Tell the other control processes which leaves to avoid.
+    /// Send warnings about leaves to all other control processes, outside the log.
     BroadcastLeafWarnings(Vec<LeafWarning>),
 }
 
 /// A message to the task of the state machine.
 #[derive(Debug)]
 pub enum StateMachineMessage {
-    /// Apply an accepted command.
+    /// Apply a committed command.
     Apply {
-        /// Its index; higher than all before.
+        /// The index of the command; strictly increasing.
         index: LogIndex,
-        /// The command.
+        /// The encoded command.
         command: Vec<u8>,
     },
-    /// A command of the recovered log of which it is not known yet whether it was accepted: a hint at most.
+    /// A command of the recovered log beyond the last known commit index. It may not be committed,
+    /// and must not be applied.
     Unconfirmed {
-        /// The command.
+        /// The encoded command.
         command: Vec<u8>,
     },
-    /// Replace the state by a snapshot.
+    /// Replace the state with a snapshot.
     Restore {
-        /// The last command that it covers.
+        /// The last entry that the snapshot covers.
         index: LogIndex,
-        /// The snapshot.
+        /// The encoded state.
         snapshot: Vec<u8>,
     },
     /// Take a snapshot.
     TakeSnapshot {
-        /// Where it goes.
+        /// Receives the snapshot.
         reply: oneshot::Sender<StateSnapshot>,
     },
-    /// Another control process told what tenants used; no part of the log.
+    /// Another control process reported tenants' usage, outside the log.
     PeerUsageReceived(PeerUsageReport),
-    /// Another control process told which leaves to avoid; no part of the log.
+    /// Another control process sent warnings about leaves, outside the log.
     PeerWarningsReceived(Vec<LeafWarning>),
 }
 
-/// What tenants used at the brokers of another control process.
+/// Tenants' usage at the brokers of another control process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerUsageReport {
-    /// The other control process.
+    /// The control process that reports.
     pub control: ControlName,
-    /// What it told.
+    /// The usage at its brokers.
     pub usage: PeerUsage,
 }
 
-/// The state machine's state.
+/// The encoded state of the state machine at a log index.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateSnapshot {
-    /// The last command that it covers.
+    /// The last command that the snapshot covers.
     pub index: LogIndex,
-    /// The state.
+    /// The encoded state.
     pub bytes: Vec<u8>,
 }
 
-/// How the log of a process stands.
+/// Role, term, members and log positions of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicationStatus {
-    /// The process itself.
+    /// The member that reports.
     pub identity: MemberId,
-    /// Its role.
+    /// Its role in the current term.
     pub role: RoleName,
-    /// Its term.
+    /// The highest term that it has seen.
     pub term: Term,
-    /// The leader that it knows.
+    /// The leader of the term, once known.
     pub leader: Option<MemberId>,
-    /// The members that it knows.
+    /// Voters and learners of the latest configuration in its log.
     pub members: Vec<MemberStatus>,
-    /// Last entry that it knows to be accepted.
+    /// The commit index.
     pub commit: LogIndex,
-    /// Last entry that it handed to the state machine.
+    /// The last entry that was passed to the state machine.
     pub applied: LogIndex,
-    /// Last entry of its log.
+    /// The last entry of its log.
     pub last: LogIndex,
-    /// Why the disk takes no writes, if so.
+    /// Why the disk accepts no writes; none while it does.
     pub storage_error: Option<String>,
 }
 
-/// A member.
+/// A member and whether it votes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// The member.
+    /// The node and its incarnation.
     pub member: MemberId,
-    /// Whether it votes; otherwise it is a learner.
+    /// True for a voter, false for a learner.
     pub voter: bool,
 }
 
-/// What the task that owns the log waits for.
+/// An event for the task that owns the log.
 pub(super) enum TaskEvent {
-    /// A request of another task.
+    /// A request from another task of the process.
     Request(ReplicationMessage),
-    /// No other task can make requests any more.
+    /// All senders of requests were dropped: the task ends.
     RequestsEnded,
-    /// A message of a peer.
+    /// A consensus message from a peer.
     Received(Envelope),
-    /// A peer told what tenants used.
+    /// A peer reported tenants' usage.
     PeerUsageReceived(MemberId, PeerUsageReport),
-    /// A peer told which leaves to avoid.
+    /// A peer sent warnings about leaves.
     PeerWarningsReceived(MemberId, Vec<LeafWarning>),
-    /// A peer said who it is.
-    PeerKnown,
-    /// The writer has events.
-    WriterWoke,
-    /// The state machine gave a snapshot.
+    /// A peer identified itself.
+    PeerIdentified,
+    /// The storage writer has queued events.
+    WriterSignaled,
+    /// The state machine returned a requested snapshot.
     Snapshot(StateSnapshot),
 }
--- a/crates/control/src/replication/mod.rs
+++ b/crates/control/src/replication/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated log of a control process: the consensus core with its disk, peers and clock.
 //!
-//! One task owns the core. Other tasks ask it by [`ReplicationMessage`]; it tells the task of the
-//! state machine what to apply by [`StateMachineMessage`].
+//! One task owns the core. Other tasks send it [`ReplicationMessage`]s; it sends the task of the
+//! state machine [`StateMachineMessage`]s.
 
 mod error;
 mod membership;
@@ -28,18 +28,18 @@
 
 use messages::TaskEvent;
 
-/// Entries that are applied before the state machine is asked for a snapshot.
+/// Default number of applied entries between two snapshots.
 pub const SNAPSHOT_INTERVAL: u64 = 1_000;
 
-/// Heartbeats of a leader in the time after which a follower misses it.
+/// Heartbeat intervals per election timeout.
 const HEARTBEATS_PER_ELECTION: u32 = 4;
 
-/// How the log of a process is kept.
+/// Timing, limits and snapshot interval of the log.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicationOptions {
-    /// Timing and limits of the core.
+    /// Timing and limits of the consensus core.
     pub consensus: ConsensusSettings,
-    /// Entries that are applied before the state machine is asked for a snapshot.
+    /// Number of applied entries between two snapshots.
     pub snapshot_interval: u64,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl ReplicationOptions {
-    /// The timing that the settings give.
+    /// Derives election timeout and heartbeat interval from the settings; the rest is default.
     pub fn of(settings: &ControlSettings) -> Self {
         let election_timeout = Duration::from_millis(settings.election_ms.into());
         let heartbeat_interval = election_timeout / HEARTBEATS_PER_ELECTION;
@@ -63,9 +63,9 @@
     }
 }
 
-/// Opens the data folder and starts the log; what is accepted goes to `state_machine`.
+/// Opens the data folder and starts the log; committed commands go to `state_machine`.
 ///
-/// The log ends, and gives the folder free, once all senders of requests are dropped.
+/// The log stops and unlocks the folder once all senders of requests are dropped.
 ///
 /// # Errors
 /// A [`StartError`] when the folder or the address for peers cannot be used.
@@ -77,7 +77,7 @@
     start_with_io(settings, options, Box::new(DiskIo), state_machine)
 }
 
-/// As [`start`], with another way to write and sync files.
+/// Like [`start`], with a custom implementation of file writes and syncs.
 ///
 /// # Errors
 /// As [`start`].
@@ -117,7 +117,8 @@
     Ok(sender)
 }
 
-/// Microseconds since 1970: higher than for any earlier folder of the machine.
+/// Microseconds since the Unix epoch, so that the number exceeds that of any earlier data folder of
+/// the node.
 fn new_incarnation() -> Incarnation {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Incarnation(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
@@ -129,6 +130,6 @@
             return;
         }
     }
-    // The log's task may have ended before.
+    // The replication task may have ended already.
     let _ = events.send(TaskEvent::RequestsEnded);
 }
--- a/crates/control/src/replication/peers/directory.rs
+++ b/crates/control/src/replication/peers/directory.rs
@@ -1,4 +1,4 @@
-//! Who the peers are, by the settings and by what they said.
+//! Identities of the peers, from the settings and from their handshakes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,15 +8,16 @@
 use gingerkeel_protocol::{PROTOCOL_VERSION, PeerFrame, PeerIdentity, PeerRefusal};
 use gingerkeel_settings::ControlSettings;
 
-/// Who the peers are; shared by the tasks of one process.
+/// Identities of the peers; shared by the tasks of one process.
 #[derive(Clone)]
 pub struct Directory {
     own: MemberId,
     formed: Rc<Cell<bool>>,
     cluster: Rc<str>,
     planned_voters: u32,
-    /// The machines that the settings name; none when any machine of the cluster may join.
+    /// The nodes that the settings list; none when any node of the cluster may join.
     nodes: Option<Rc<BTreeSet<NodeNumber>>>,
+    /// The identity with the highest incarnation that each node has reported.
     latest: Rc<RefCell<BTreeMap<NodeNumber, PeerIdentity>>>,
 }
 
@@ -33,7 +34,7 @@
         }
     }
 
-    /// What this process says about itself.
+    /// The identity that this process sends to peers.
     pub fn own_identity(&self) -> PeerIdentity {
         PeerIdentity {
             node: self.own.node.0,
@@ -48,7 +49,7 @@
         self.formed.get()
     }
 
-    /// The log of this process holds entries.
+    /// Records that the log of this process holds entries.
     pub fn set_formed(&self) {
         self.formed.set(true);
     }
@@ -61,7 +62,11 @@
         }
     }
 
-    /// Checks what a process said when it connected.
+    /// Checks the handshake of a process that connected.
+    ///
+    /// # Errors
+    /// A [`PeerRefusal`] for another protocol version or cluster, an unlisted node, or an outdated
+    /// incarnation.
     pub fn check_hello(
         &self,
         protocol_version: u16,
@@ -77,7 +82,10 @@
         self.learn(identity)
     }
 
-    /// Notes who a peer is, unless it is unknown or was seen with a later data folder.
+    /// Records the identity of a peer.
+    ///
+    /// # Errors
+    /// A [`PeerRefusal`] if the node is unlisted or was seen with a newer incarnation.
     pub fn learn(&self, identity: PeerIdentity) -> Result<(), PeerRefusal> {
         let node = NodeNumber(identity.node);
         if self.nodes.as_ref().is_some_and(|nodes| !nodes.contains(&node)) {
@@ -91,7 +99,7 @@
         Ok(())
     }
 
-    /// Whether the machine has been seen with a later data folder.
+    /// Whether the node was seen with a newer incarnation, that is, with a newer data folder.
     pub fn is_superseded(&self, member: MemberId) -> bool {
         self.latest
             .borrow()
@@ -99,13 +107,13 @@
             .is_some_and(|known| known.incarnation > member.incarnation.0)
     }
 
-    /// What a peer said last, if its settings name the same voters.
+    /// The latest identity of a peer, if its settings name the same voters.
     pub fn latest_with_same_voters(&self, node: NodeNumber) -> Option<PeerIdentity> {
         let latest = self.latest.borrow().get(&node).copied();
         latest.filter(|peer| peer.planned_voters == self.planned_voters)
     }
 
-    /// All peers that said who they are.
+    /// All nodes that have identified themselves.
     pub fn known(&self) -> Vec<NodeNumber> {
         self.latest.borrow().keys().copied().collect()
     }
@@ -116,7 +124,7 @@
     }
 }
 
-/// Tells settings apart that would form different clusters.
+/// Checksum over the configured voters: peers with another one would form another cluster.
 fn checksum_of_voters(settings: &ControlSettings) -> u32 {
     let listed = settings.peers.iter().filter(|peer| peer.voter).map(|peer| peer.node);
     let seeds = settings.seeds.iter().flat_map(|seeds| seeds.seed_numbers());
@@ -125,7 +133,7 @@
     crc32fast::hash(&bytes)
 }
 
-/// The member that a peer said it is.
+/// The member that an identity stands for.
 pub fn member(identity: PeerIdentity) -> MemberId {
     MemberId { node: NodeNumber(identity.node), incarnation: Incarnation(identity.incarnation) }
 }
--- a/crates/control/src/replication/peers/incoming.rs
+++ b/crates/control/src/replication/peers/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that peers open.
+//! Connections that peers open to this process.
 
 use std::time::Duration;
 
@@ -18,20 +18,20 @@
 use super::directory::{Directory, member};
 use crate::replication::messages::{PeerUsageReport, TaskEvent};
 
-/// Time that a process has to say who it is, and between two messages after that.
-const SILENCE_LIMIT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted, as when descriptors are short.
+/// Time limit for the handshake, and afterwards between two messages of a peer.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 type Reader = FramedRead<OwnedReadHalf<TcpStream>, ()>;
 type Writer = OwnedWriteHalf<TcpStream>;
 
-/// Accepts peers' connections for ever.
+/// Accepts connections of peers for the life of the process.
 pub async fn serve(listener: TcpListener, directory: Directory, events: Tx<TaskEvent>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, directory.clone(), events.clone()));
+                monoio::spawn(handle_connection(stream, directory.clone(), events.clone()));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "peers", %error);
@@ -41,8 +41,8 @@
     }
 }
 
-async fn converse(stream: TcpStream, directory: Directory, events: Tx<TaskEvent>) {
-    // Without it messages are only slower.
+async fn handle_connection(stream: TcpStream, directory: Directory, events: Tx<TaskEvent>) {
+    // Without the option messages are only slower.
     let _ = stream.set_nodelay(true);
     let (read_half, mut writer) = stream.into_split();
     let mut reader = FramedRead::new(read_half, ());
@@ -57,10 +57,10 @@
     directory: &Directory,
     events: &Tx<TaskEvent>,
 ) -> Result<(), ProtocolError> {
-    let Some(peer) = welcome(reader, writer, directory, events).await? else {
+    let Some(peer) = handshake(reader, writer, directory, events).await? else {
         return Ok(());
     };
-    while let Some(frame) = next(reader).await? {
+    while let Some(frame) = next_frame(reader).await? {
         match frame {
             PeerFrame::Probe => {
                 let identity = directory.own_identity();
@@ -70,7 +70,7 @@
                 let envelope: Envelope = decode_document(&document)?;
                 if envelope.from != peer {
                     return Err(ProtocolError::Malformed(format!(
-                        "{peer} speaks for {}",
+                        "message from {peer} names {} as its sender",
                         envelope.from
                     )));
                 }
@@ -79,8 +79,8 @@
                 }
             }
             PeerFrame::Usage { control, usage } => {
-                let used = understand_usage(&control, &usage)?;
-                if events.send(TaskEvent::PeerUsageReceived(peer, used)).is_err() {
+                let report = decode_usage(&control, &usage)?;
+                if events.send(TaskEvent::PeerUsageReceived(peer, report)).is_err() {
                     return Ok(());
                 }
             }
@@ -90,48 +90,47 @@
                     return Ok(());
                 }
             }
-            _ => return Err(ProtocolError::Malformed("message out of order".into())),
+            _ => return Err(ProtocolError::Malformed("unexpected message".into())),
         }
     }
     Ok(())
 }
 
-fn understand_usage(
-    control: &ShortText,
-    usage: &Document,
-) -> Result<PeerUsageReport, ProtocolError> {
+fn decode_usage(control: &ShortText, usage: &Document) -> Result<PeerUsageReport, ProtocolError> {
     let name = control.text().map(ControlName::new);
-    let control = name.ok_or_else(|| ProtocolError::Malformed("a sender without a name".into()))?;
+    let control =
+        name.ok_or_else(|| ProtocolError::Malformed("usage report without a sender name".into()))?;
     Ok(PeerUsageReport { control, usage: decode_document(&usage.bytes)? })
 }
 
-/// Takes the greeting; gives the peer if it is welcome.
-async fn welcome(
+/// Performs the handshake; none if the peer was refused.
+async fn handshake(
     reader: &mut Reader,
     writer: &mut Writer,
     directory: &Directory,
     events: &Tx<TaskEvent>,
 ) -> Result<Option<MemberId>, ProtocolError> {
-    let Some(PeerFrame::Hello { protocol_version, identity, cluster }) = next(reader).await? else {
-        return Err(ProtocolError::Malformed("no greeting".into()));
+    let Some(PeerFrame::Hello { protocol_version, identity, cluster }) = next_frame(reader).await?
+    else {
+        return Err(ProtocolError::Malformed("no handshake".into()));
     };
     if let Err(reason) = directory.check_hello(protocol_version, &cluster, identity) {
-        let (node, reason_text) = (identity.node, explain(reason));
+        let (node, reason_text) = (identity.node, refusal_text(reason));
         warn!(event = "peer_refused", node, reason = reason_text);
         send(writer, &PeerFrame::Refused { reason }).await?;
         return Ok(None);
     }
     send(writer, &PeerFrame::Welcome { identity: directory.own_identity() }).await?;
-    // The log's task may have ended with the process.
-    let _ = events.send(TaskEvent::PeerKnown);
+    // The replication task may have ended with the process.
+    let _ = events.send(TaskEvent::PeerIdentified);
     Ok(Some(member(identity)))
 }
 
-async fn next(reader: &mut Reader) -> Result<Option<PeerFrame>, ProtocolError> {
+async fn next_frame(reader: &mut Reader) -> Result<Option<PeerFrame>, ProtocolError> {
     let mut codec = FrameCodec::<PeerFrame>::default();
-    match timeout(SILENCE_LIMIT, reader.next_with(&mut codec)).await {
+    match timeout(IDLE_TIMEOUT, reader.next_with(&mut codec)).await {
         Ok(frame) => frame.transpose(),
-        Err(_) => Err(ProtocolError::Malformed("silence".into())),
+        Err(_) => Err(ProtocolError::Malformed("no message within 10 s".into())),
     }
 }
 
@@ -141,8 +140,8 @@
     Ok(())
 }
 
-/// Why a connection was refused, and the remedy.
-pub(super) fn explain(reason: PeerRefusal) -> &'static str {
+/// The reason of a refusal with its remedy, for the log.
+pub(super) fn refusal_text(reason: PeerRefusal) -> &'static str {
     match reason {
         PeerRefusal::ProtocolVersion => "another protocol version: run the same release on both",
         PeerRefusal::Cluster => "another cluster: correct `cluster` or `peers` in the settings",
--- a/crates/control/src/replication/peers/outgoing.rs
+++ b/crates/control/src/replication/peers/outgoing.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, one each, kept up for ever.
+//! Connections to peers: one per peer, re-established after each failure.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,28 +20,30 @@
 use tracing::{info, warn};
 
 use super::directory::Directory;
-use super::incoming::{explain, send};
+use super::incoming::{refusal_text, send};
 use super::usage_outbox::UsageOutbox;
 use crate::replication::messages::TaskEvent;
 
-/// Pause between attempts to connect.
+/// Pause between connection attempts.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
-/// Time that a peer has to take a connection: one that has no power says nothing, and is tried
-/// again soon.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Time that a greeting or a write may take.
-const STEP_LIMIT: Duration = Duration::from_secs(2);
-/// Time between probes.
+/// Time limit for a connection attempt. Kept short because a powered-off machine sends no refusal,
+/// and should be reached soon after it returns.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time limit for a handshake message or a write.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Silence after which a connection is given up, as a cut leaves no other sign.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
-/// Messages that may wait for one peer; more are dropped, as the core repeats what matters.
+/// Time without a probe reply after which a connection is closed: a network partition gives no
+/// other sign.
+const PROBE_REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of messages queued for one peer. Further ones are dropped, since the consensus
+/// core retransmits what is needed.
 const QUEUE_LIMIT: usize = 1_024;
 
 /// The connections to all peers.
 pub struct Links {
     links: BTreeMap<NodeNumber, Link>,
-    /// Port of all peers when their number is their address.
+    /// The port of all peers when node numbers are IPv4 addresses; none when peers are listed.
     common_port: Option<u16>,
     own: NodeNumber,
     own_name: ShortText,
@@ -49,6 +51,7 @@
     events: Tx<TaskEvent>,
 }
 
+/// Handle of the task that serves one peer.
 struct Link {
     queue: Tx<Queued>,
     queued: Rc<Cell<usize>>,
@@ -56,8 +59,8 @@
 }
 
 impl Link {
-    /// Has a message sent, unless too many wait already.
-    fn put(&self, message: Message) {
+    /// Queues a message, or drops it if the queue is full.
+    fn enqueue(&self, message: Message) {
         let queued = self.queued.get();
         if queued < QUEUE_LIMIT && self.queue.send(Queued::Message(message)).is_ok() {
             self.queued.set(queued + 1);
@@ -67,9 +70,9 @@
 
 /// A message to one peer.
 enum Message {
-    /// Of the log.
+    /// A consensus message.
     Log(Envelope),
-    /// Leaves to avoid.
+    /// Warnings about leaves.
     Warnings(Rc<[LeafWarning]>),
 }
 
@@ -85,23 +88,23 @@
     }
 }
 
-/// What the task of a link is woken for.
+/// An element of a link's queue.
 enum Queued {
-    /// A message.
+    /// A message to send.
     Message(Message),
-    /// There is something in the outbox of usage.
+    /// The usage outbox holds totals to send.
     Usage,
 }
 
-/// What a link does next.
-enum Step {
-    /// Sends a message.
+/// The next action of a link's task.
+enum Action {
+    /// Send a message.
     Message(Message),
-    /// Sends what tenants used.
+    /// Send tenants' usage.
     Usage(PeerUsage),
-    /// Looks for signs of life only.
+    /// Only check the peer's probe replies.
     Idle,
-    /// Ends: the link was dropped.
+    /// Stop: the link was dropped.
     End,
 }
 
@@ -125,9 +128,9 @@
         links
     }
 
-    /// Keeps links to just these machines, whose numbers are their addresses. Without effect when
-    /// the settings list the peers.
-    pub fn keep(&mut self, nodes: &BTreeSet<NodeNumber>) {
+    /// Opens and closes links so that exactly these nodes have one; their numbers are their IPv4
+    /// addresses. Does nothing when the settings list the peers.
+    pub fn keep_only(&mut self, nodes: &BTreeSet<NodeNumber>) {
         let Some(port) = self.common_port else {
             return;
         };
@@ -157,28 +160,28 @@
         self.links.insert(node, Link { queue, queued, usage });
     }
 
-    /// Sends a message, unless too many wait already.
+    /// Queues a consensus message for its addressee, or drops it if the queue is full.
     pub fn send(&self, envelope: Envelope) {
         if let Some(link) = self.links.get(&envelope.to.node) {
-            link.put(Message::Log(envelope));
+            link.enqueue(Message::Log(envelope));
         }
     }
 
-    /// Sends what tenants used to all peers, together with what a peer was not sent yet.
-    pub fn tell_usage(&self, usage: &PeerUsage) {
+    /// Sends tenants' usage to all peers, merged with totals that a peer has not been sent yet.
+    pub fn broadcast_usage(&self, usage: &PeerUsage) {
         for link in self.links.values() {
-            if link.usage.borrow_mut().put(usage) {
-                // A link that ended takes nothing any more.
+            if link.usage.borrow_mut().merge(usage) {
+                // The task of a link may have ended with the process.
                 let _ = link.queue.send(Queued::Usage);
             }
         }
     }
 
-    /// Tells all peers which leaves to avoid, but for those to whom too much waits already.
-    pub fn tell_warnings(&self, warnings: &[LeafWarning]) {
+    /// Sends warnings about leaves to all peers, except those whose queue is full.
+    pub fn broadcast_warnings(&self, warnings: &[LeafWarning]) {
         let warnings: Rc<[LeafWarning]> = warnings.into();
         for link in self.links.values() {
-            link.put(Message::Warnings(warnings.clone()));
+            link.enqueue(Message::Warnings(warnings.clone()));
         }
     }
 }
@@ -195,22 +198,22 @@
 
 impl LinkTask {
     async fn run(mut self) {
-        let mut reported = false;
+        let mut failure_logged = false;
         loop {
             match self.connect().await {
                 Ok((reader, writer)) => {
-                    reported = false;
+                    failure_logged = false;
                     if let Err(error) = self.transmit(reader, writer).await {
                         info!(event = "peer_connection_ended", direction = "out", peer = %self.address, %error);
                     }
                 }
-                Err(error) if !reported => {
+                Err(error) if !failure_logged => {
                     warn!(event = "peer_not_reached", peer = %self.address, %error);
-                    reported = true;
+                    failure_logged = true;
                 }
                 Err(_) => {}
             }
-            let dropped = self.drop_queue();
+            let dropped = self.discard_queue();
             if dropped || self.events.is_closed() {
                 return;
             }
@@ -219,28 +222,28 @@
     }
 
     async fn connect(&mut self) -> Result<(Reader, OwnedWriteHalf<TcpStream>), ProtocolError> {
-        let connecting = timeout(CONNECT_LIMIT, TcpStream::connect_addr(self.address));
-        let silent = |_| ProtocolError::Silent("it takes no connection");
-        let stream = connecting.await.map_err(silent)??;
-        // Without it messages are only slower.
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect_addr(self.address));
+        let timed_out = |_| ProtocolError::Silent("no connection within 0.5 s");
+        let stream = connecting.await.map_err(timed_out)??;
+        // Without the option messages are only slower.
         let _ = stream.set_nodelay(true);
         let (read_half, mut writer) = stream.into_split();
         let mut reader = FramedRead::new(read_half, ());
-        step(send(&mut writer, &self.directory.hello())).await??;
+        with_io_timeout(send(&mut writer, &self.directory.hello())).await??;
         let mut codec = FrameCodec::<PeerFrame>::default();
-        match step(reader.next_with(&mut codec)).await?.transpose()? {
+        match with_io_timeout(reader.next_with(&mut codec)).await?.transpose()? {
             Some(PeerFrame::Welcome { identity }) => {
                 let learned = self.directory.learn(identity);
-                learned.map_err(|reason| ProtocolError::Malformed(explain(reason).into()))?;
+                learned.map_err(|reason| ProtocolError::Malformed(refusal_text(reason).into()))?;
                 info!(event = "peer_connected", peer = %self.address, node = identity.node);
-                // The log's task may have ended with the process.
-                let _ = self.events.send(TaskEvent::PeerKnown);
+                // The replication task may have ended with the process.
+                let _ = self.events.send(TaskEvent::PeerIdentified);
                 Ok((reader, writer))
             }
             Some(PeerFrame::Refused { reason }) => {
-                Err(ProtocolError::Malformed(format!("refused: {}", explain(reason))))
+                Err(ProtocolError::Malformed(format!("refused: {}", refusal_text(reason))))
             }
-            _ => Err(ProtocolError::Malformed("no welcome".into())),
+            _ => Err(ProtocolError::Malformed("no reply to the handshake".into())),
         }
     }
 
@@ -249,60 +252,62 @@
         reader: Reader,
         mut writer: OwnedWriteHalf<TcpStream>,
     ) -> Result<(), ProtocolError> {
-        if self.drop_queue() {
+        if self.discard_queue() {
             return Ok(());
         }
-        let heard = Rc::new(Cell::new(Some(Instant::now())));
-        monoio::spawn(listen(reader, heard.clone(), self.directory.clone()));
-        let mut probed = Instant::now();
+        let last_reply = Rc::new(Cell::new(Some(Instant::now())));
+        monoio::spawn(read_probe_replies(reader, last_reply.clone(), self.directory.clone()));
+        let mut last_probe = Instant::now();
         loop {
-            match self.next_step().await {
-                Step::Message(message) => {
+            match self.next_action().await {
+                Action::Message(message) => {
                     self.queued.set(self.queued.get().saturating_sub(1));
-                    step(send(&mut writer, &message.frame()?)).await??;
+                    with_io_timeout(send(&mut writer, &message.frame()?)).await??;
                 }
-                Step::Usage(usage) => {
+                Action::Usage(usage) => {
                     let usage = encode_document(&usage)?.into();
                     let control = self.own_name.clone();
-                    step(send(&mut writer, &PeerFrame::Usage { control, usage })).await??;
+                    with_io_timeout(send(&mut writer, &PeerFrame::Usage { control, usage }))
+                        .await??;
                 }
-                Step::Idle => {}
-                Step::End => return Ok(()),
+                Action::Idle => {}
+                Action::End => return Ok(()),
             }
-            if heard.get().is_none_or(|heard| heard.elapsed() > SILENCE_LIMIT) {
-                return Err(ProtocolError::Silent("it sends nothing"));
+            if last_reply.get().is_none_or(|last_reply| last_reply.elapsed() > PROBE_REPLY_TIMEOUT)
+            {
+                return Err(ProtocolError::Silent("no probe reply within 2 s"));
             }
-            if probed.elapsed() >= PROBE_INTERVAL {
-                probed = Instant::now();
-                step(send(&mut writer, &PeerFrame::Probe)).await??;
+            if last_probe.elapsed() >= PROBE_INTERVAL {
+                last_probe = Instant::now();
+                with_io_timeout(send(&mut writer, &PeerFrame::Probe)).await??;
             }
         }
     }
 
-    /// Messages go first: what tenants used is sent while none of them waits.
-    async fn next_step(&mut self) -> Step {
+    /// Queued messages take precedence; usage is sent once the queue is empty.
+    async fn next_action(&mut self) -> Action {
         loop {
             match self.queue.try_recv() {
-                Ok(Queued::Message(message)) => return Step::Message(message),
+                Ok(Queued::Message(message)) => return Action::Message(message),
                 Ok(Queued::Usage) => continue,
-                Err(TryRecvError::Disconnected) => return Step::End,
+                Err(TryRecvError::Disconnected) => return Action::End,
                 Err(TryRecvError::Empty) => {}
             }
             if let Some(usage) = self.usage.borrow_mut().take() {
-                return Step::Usage(usage);
+                return Action::Usage(usage);
             }
             match timeout(PROBE_INTERVAL, self.queue.recv()).await {
-                Ok(Some(Queued::Message(message))) => return Step::Message(message),
+                Ok(Some(Queued::Message(message))) => return Action::Message(message),
                 Ok(Some(Queued::Usage)) => {}
-                Ok(None) => return Step::End,
-                Err(_) => return Step::Idle,
+                Ok(None) => return Action::End,
+                Err(_) => return Action::Idle,
             }
         }
     }
 
-    /// Messages that waited for a connection that is gone are of no use on the next. True when the link
-    /// itself was dropped.
-    fn drop_queue(&mut self) -> bool {
+    /// Discards messages queued for a connection that has ended; they would be outdated on the next
+    /// one. True if the link itself was dropped.
+    fn discard_queue(&mut self) -> bool {
         let ended = loop {
             match self.queue.try_recv() {
                 Ok(_) => {}
@@ -316,19 +321,24 @@
 
 type Reader = FramedRead<OwnedReadHalf<TcpStream>, ()>;
 
-/// Notes signs of life until the connection ends; then there is none any more.
-async fn listen(mut reader: Reader, heard: Rc<Cell<Option<Instant>>>, directory: Directory) {
+/// Records the time of each probe reply; clears it when the connection ends.
+async fn read_probe_replies(
+    mut reader: Reader,
+    last_reply: Rc<Cell<Option<Instant>>>,
+    directory: Directory,
+) {
     let mut codec = FrameCodec::<PeerFrame>::default();
     while let Some(Ok(PeerFrame::ProbeReply { identity })) = reader.next_with(&mut codec).await {
         if directory.learn(identity).is_err() {
             break;
         }
-        heard.set(Some(Instant::now()));
+        last_reply.set(Some(Instant::now()));
     }
-    heard.set(None);
+    last_reply.set(None);
 }
 
-async fn step<F: Future>(future: F) -> Result<F::Output, ProtocolError> {
-    let limited = timeout(STEP_LIMIT, future).await;
-    limited.map_err(|_| ProtocolError::Malformed("the peer does not answer".into()))
+async fn with_io_timeout<F: Future>(future: F) -> Result<F::Output, ProtocolError> {
+    let limited = timeout(IO_TIMEOUT, future).await;
+    limited
+        .map_err(|_| ProtocolError::Malformed("handshake or write not finished within 2 s".into()))
 }
--- a/crates/control/src/replication/peers/usage_outbox.rs
+++ b/crates/control/src/replication/peers/usage_outbox.rs
@@ -1,32 +1,32 @@
-//! What one peer was not sent yet of the use of quotas.
+//! Tenants' usage that is still to be sent to one peer.
 
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::quota::{PeerUsage, TenantTotal};
 
-/// The newest totals that wait for a peer. Totals replace older ones of the same tenant, so that what
-/// waits is bounded by the number of tenants however long the peer takes nothing.
+/// The newest totals that wait for a peer. A newer total of a tenant replaces the older one, so the
+/// size is bounded by the number of tenants, however long the peer is unreachable.
 #[derive(Debug, Default)]
 pub struct UsageOutbox {
-    waits: bool,
+    is_pending: bool,
     run: u64,
     totals: BTreeMap<TenantName, TenantTotal>,
 }
 
 impl UsageOutbox {
-    /// Adds what is to be told. True when nothing waited before.
-    pub fn put(&mut self, usage: &PeerUsage) -> bool {
+    /// Adds totals to send. True if the outbox was empty, so that the link must be woken.
+    pub fn merge(&mut self, usage: &PeerUsage) -> bool {
         self.run = usage.run;
         for total in &usage.totals {
             self.totals.insert(total.tenant.clone(), total.clone());
         }
-        !std::mem::replace(&mut self.waits, true)
+        !std::mem::replace(&mut self.is_pending, true)
     }
 
-    /// All that waits, if anything.
+    /// Takes all waiting totals; none if there is nothing to send.
     pub fn take(&mut self) -> Option<PeerUsage> {
-        if !std::mem::take(&mut self.waits) {
+        if !std::mem::take(&mut self.is_pending) {
             return None;
         }
         let totals = std::mem::take(&mut self.totals).into_values().collect();
--- a/crates/control/src/replication/peers/usage_outbox/tests.rs
+++ b/crates/control/src/replication/peers/usage_outbox/tests.rs
@@ -1,4 +1,4 @@
-//! What waits for a peer that takes nothing.
+//! Totals that wait for an unreachable peer.
 
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::quota::{PeerUsage, TenantTotal};
@@ -18,9 +18,9 @@
 fn newer_totals_replace_those_that_wait() {
     let mut outbox = UsageOutbox::default();
     assert_eq!(outbox.take(), None);
-    assert!(outbox.put(&usage(&[("a", 1), ("b", 1)])), "the link is woken");
+    assert!(outbox.merge(&usage(&[("a", 1), ("b", 1)])), "the link is woken");
     for count in 2..1_000 {
-        assert!(!outbox.put(&usage(&[("b", count)])), "the link is woken already");
+        assert!(!outbox.merge(&usage(&[("b", count)])), "the link is woken already");
     }
     assert_eq!(outbox.take(), Some(usage(&[("a", 1), ("b", 999)])));
     assert_eq!(outbox.take(), None);
@@ -29,6 +29,6 @@
 #[test]
 fn word_without_totals_is_a_sign_of_life() {
     let mut outbox = UsageOutbox::default();
-    assert!(outbox.put(&usage(&[])));
+    assert!(outbox.merge(&usage(&[])));
     assert_eq!(outbox.take(), Some(usage(&[])));
 }
--- a/crates/control/src/replication/requests.rs
+++ b/crates/control/src/replication/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other tasks that wait for the log.
+//! Requests from other tasks that await an outcome of the log.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,19 @@
 pub(super) type ReadReply = oneshot::Sender<Result<LogIndex, ReadError>>;
 pub(super) type ChangeReply = oneshot::Sender<Result<(), ChangeError>>;
 
-/// Requests that wait for the log. A requester that gave up is not told.
+/// Requests that await an outcome. Replies to requesters that gave up are discarded.
 #[derive(Default)]
 pub(super) struct PendingRequests {
+    /// Proposals in the log of this leader that are not committed yet.
     proposals: BTreeMap<LogIndex, PendingProposal>,
     /// Reads that no quorum has confirmed yet.
-    unconfirmed: BTreeMap<RequestNumber, PendingRead>,
-    /// Reads that wait for entries to be applied.
-    confirmed: Vec<ConfirmedRead>,
-    /// Changes that the leader has not answered yet.
-    asked: BTreeMap<RequestNumber, PendingChange>,
-    /// Changes that are in the log.
-    logged: Vec<LoggedChange>,
+    unconfirmed_reads: BTreeMap<RequestNumber, PendingRead>,
+    /// Confirmed reads whose index is not applied yet.
+    confirmed_reads: Vec<ConfirmedRead>,
+    /// Membership changes that the leader has not answered yet.
+    unanswered_changes: BTreeMap<RequestNumber, PendingChange>,
+    /// Membership changes in the log that are not applied yet.
+    logged_changes: Vec<LoggedChange>,
     next: u64,
 }
 
@@ -36,7 +37,7 @@
 }
 
 struct PendingRead {
-    due: Timestamp,
+    deadline: Timestamp,
     reply: ReadReply,
 }
 
@@ -46,7 +47,7 @@
 }
 
 struct PendingChange {
-    due: Timestamp,
+    deadline: Timestamp,
     change: MemberChange,
     reply: ChangeReply,
 }
@@ -68,67 +69,69 @@
         self.proposals.insert(position.index, pending);
     }
 
-    pub fn add_read(&mut self, number: RequestNumber, due: Timestamp, reply: ReadReply) {
-        self.unconfirmed.insert(number, PendingRead { due, reply });
+    pub fn add_read(&mut self, number: RequestNumber, deadline: Timestamp, reply: ReadReply) {
+        self.unconfirmed_reads.insert(number, PendingRead { deadline, reply });
     }
 
-    pub fn add_asked_change(
+    pub fn add_unanswered_change(
         &mut self,
         number: RequestNumber,
-        due: Timestamp,
+        deadline: Timestamp,
         change: MemberChange,
         reply: ChangeReply,
     ) {
-        self.asked.insert(number, PendingChange { due, change, reply });
+        self.unanswered_changes.insert(number, PendingChange { deadline, change, reply });
     }
 
     pub fn add_logged_change(&mut self, index: LogIndex, change: MemberChange, reply: ChangeReply) {
-        self.logged.push(LoggedChange { index, change, reply });
+        self.logged_changes.push(LoggedChange { index, change, reply });
     }
 
-    /// An entry was accepted.
-    pub fn accepted(&mut self, entry: &Entry) {
+    /// Answers the proposal at the index of a committed entry. An entry of another term means that
+    /// the proposal was overwritten.
+    pub fn committed(&mut self, entry: &Entry) {
         if let Some(pending) = self.proposals.remove(&entry.index) {
             let same = pending.term == entry.term;
             let _ = pending.reply.send(if same { Ok(()) } else { Err(ProposeError::Dropped) });
         }
     }
 
-    /// Entries up to `index` were accepted that this process did not see.
-    pub fn skipped_to(&mut self, index: LogIndex) {
+    /// Drops proposals up to `index`, which a snapshot covers: their outcome is unknown.
+    pub fn drop_covered(&mut self, index: LogIndex) {
         let later = self.proposals.split_off(&index.next());
         for pending in std::mem::replace(&mut self.proposals, later).into_values() {
             let _ = pending.reply.send(Err(ProposeError::Dropped));
         }
     }
 
-    /// This member no longer leads, or its disk takes no writes: what waits may be accepted or not.
+    /// Drops all proposals, when this member no longer leads or its disk accepts no writes: they
+    /// may still be committed.
     pub fn drop_proposals(&mut self) {
         for pending in std::mem::take(&mut self.proposals).into_values() {
             let _ = pending.reply.send(Err(ProposeError::Dropped));
         }
     }
 
-    /// A read was confirmed or dropped.
-    pub fn read_outcome(&mut self, outcome: ReadOutcome) {
-        let Some(pending) = self.unconfirmed.remove(&outcome.number) else {
+    /// Handles the outcome of a read: confirmed by a quorum, or dropped.
+    pub fn resolve_read(&mut self, outcome: ReadOutcome) {
+        let Some(pending) = self.unconfirmed_reads.remove(&outcome.number) else {
             return;
         };
         match outcome.result {
-            Ok(index) => self.confirmed.push(ConfirmedRead { index, reply: pending.reply }),
+            Ok(index) => self.confirmed_reads.push(ConfirmedRead { index, reply: pending.reply }),
             Err(error) => {
                 let _ = pending.reply.send(Err(error.into()));
             }
         }
     }
 
-    /// The leader answered a change that this process asked for.
-    pub fn change_outcome(
+    /// Handles the leader's answer to a membership change that this process requested.
+    pub fn resolve_change(
         &mut self,
         number: RequestNumber,
         result: Result<LogIndex, consensus::MemberChangeError>,
     ) {
-        let Some(pending) = self.asked.remove(&number) else {
+        let Some(pending) = self.unanswered_changes.remove(&number) else {
             return;
         };
         match result {
@@ -139,48 +142,49 @@
         }
     }
 
-    /// Entries up to `applied` were handed to the state machine; `command` is the last command.
+    /// Answers what waits for entries up to `applied`, which were passed to the state machine;
+    /// `command` is the index of the last command among them.
     pub fn applied(&mut self, applied: LogIndex, command: LogIndex, members: &Configuration) {
-        let confirmed = std::mem::take(&mut self.confirmed);
-        for read in confirmed {
+        let confirmed_reads = std::mem::take(&mut self.confirmed_reads);
+        for read in confirmed_reads {
             if read.index <= applied {
                 let _ = read.reply.send(Ok(command));
             } else {
-                self.confirmed.push(read);
+                self.confirmed_reads.push(read);
             }
         }
-        let logged = std::mem::take(&mut self.logged);
-        for pending in logged {
+        let logged_changes = std::mem::take(&mut self.logged_changes);
+        for pending in logged_changes {
             if pending.index > applied {
-                self.logged.push(pending);
+                self.logged_changes.push(pending);
                 continue;
             }
-            let made = members.reflects(pending.change);
-            let _ = pending.reply.send(if made { Ok(()) } else { Err(ChangeError::Dropped) });
+            let is_applied = members.reflects(pending.change);
+            let _ = pending.reply.send(if is_applied { Ok(()) } else { Err(ChangeError::Dropped) });
         }
     }
 
-    /// Gives up what the leader did not answer in time.
+    /// Fails reads and membership changes whose deadline has passed, and forgets requests whose
+    /// requester gave up.
     pub fn expire(&mut self, now: Timestamp) {
-        let reads = std::mem::take(&mut self.unconfirmed);
+        let reads = std::mem::take(&mut self.unconfirmed_reads);
         for (number, pending) in reads {
-            if pending.due > now {
-                self.unconfirmed.insert(number, pending);
+            if pending.deadline > now {
+                self.unconfirmed_reads.insert(number, pending);
             } else {
                 let _ = pending.reply.send(Err(consensus::ReadError::Dropped.into()));
             }
         }
-        let changes = std::mem::take(&mut self.asked);
+        let changes = std::mem::take(&mut self.unanswered_changes);
         for (number, pending) in changes {
-            if pending.due > now {
-                self.asked.insert(number, pending);
+            if pending.deadline > now {
+                self.unanswered_changes.insert(number, pending);
             } else {
                 let _ = pending.reply.send(Err(ChangeError::Dropped));
             }
         }
-        // Their requesters gave up.
         self.proposals.retain(|_, pending| !pending.reply.is_closed());
-        self.confirmed.retain(|pending| !pending.reply.is_closed());
-        self.logged.retain(|pending| !pending.reply.is_closed());
+        self.confirmed_reads.retain(|pending| !pending.reply.is_closed());
+        self.logged_changes.retain(|pending| !pending.reply.is_closed());
     }
 }
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the core and the disk.
+//! The task that drives the consensus core, its disk and its peers.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -23,7 +23,7 @@
 
 use super::ReplicationOptions;
 use super::error::{ChangeError, ProposeError};
-use super::membership::{FirstStep, PlannedMembers};
+use super::membership::{BootstrapStep, ConfiguredMembers};
 use super::messages::{
     MemberStatus, ReplicationMessage, ReplicationStatus, StateMachineMessage, TaskEvent,
 };
@@ -31,44 +31,44 @@
 use super::requests::{ChangeReply, PendingRequests, ProposeReply, ReadReply};
 use crate::storage::{OpenedStorage, Writer, WriterEvent, WriterMessage};
 
-/// Time that a leader has to answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(5);
-/// Time without a leader after which a member asks whether it was taken out.
-const RETURN_AFTER: Duration = Duration::from_secs(3);
-/// Time between looks at what a member has to do besides.
+/// Time limit for a leader's answer to a read or a membership change.
+const LEADER_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time without a leader after which a member asks to be added again, as it may have been removed.
+const REJOIN_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of membership maintenance and of request expiry.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Events that are handled together before the core's work is carried out.
+/// Maximum number of events that are handled before the core's output is processed.
 const EVENT_BATCH: usize = 256;
-/// Bytes of the socket that tells of the writer's events.
-const WAKE_BYTES: usize = 64;
+/// Size of the buffer for the writer's wake-up bytes, whose number has no meaning.
+const WAKE_BUFFER_BYTES: usize = 64;
 
-/// The task that owns the core and the disk.
+/// State of the task that owns the consensus core and the storage writer.
 pub(super) struct ReplicationTask {
     node: Node,
     clock: Clock,
     writer: Writer,
     links: Links,
     directory: Directory,
-    planned: PlannedMembers,
+    planned: ConfiguredMembers,
     state_machine: Tx<StateMachineMessage>,
     requests: PendingRequests,
-    /// Last command that was handed to the state machine.
+    /// Index of the last command that was passed to the state machine.
     last_command: LogIndex,
     snapshot_interval: u64,
-    /// What was applied when the state machine was last asked for a snapshot.
+    /// Applied index at the last snapshot request.
     snapshot_asked: LogIndex,
     maintenance_due: Timestamp,
     storage_error: Option<String>,
-    reported: Option<(RoleName, Option<MemberId>)>,
-    /// Whom to ask for a place among the members.
+    logged_role: Option<(RoleName, Option<MemberId>)>,
+    /// The member to send the next join request to, when a former one named the leader.
     join_through: Option<MemberId>,
     leaderless_since: Option<Timestamp>,
-    /// Whether no more requests can come.
+    /// Whether all senders of requests were dropped.
     ended: bool,
 }
 
-/// Tells the state machine what the log has beyond the last entry that was known to be committed.
-fn tell_unconfirmed(recovered: &Recovered, state_machine: &Tx<StateMachineMessage>) {
+/// Sends the state machine the recovered commands beyond the last known commit index.
+fn forward_unconfirmed(recovered: &Recovered, state_machine: &Tx<StateMachineMessage>) {
     for entry in recovered.entries.iter().filter(|entry| entry.index > recovered.commit) {
         if let Payload::Command(command) = &entry.payload {
             let command = command.to_vec();
@@ -91,14 +91,14 @@
         let identity = opened.identity;
         let random = Box::new(Pcg64::new(rand::rng().random(), rand::rng().random()));
         let now = clock.now();
-        tell_unconfirmed(&opened.recovered, &state_machine);
+        forward_unconfirmed(&opened.recovered, &state_machine);
         Ok(Self {
             node: Node::new(identity, options.consensus, random, opened.recovered, now),
             clock,
             writer: Writer::start(opened.storage)?,
             links,
             directory,
-            planned: PlannedMembers::new(settings, identity),
+            planned: ConfiguredMembers::new(settings, identity),
             state_machine,
             requests: PendingRequests::default(),
             last_command: LogIndex(0),
@@ -106,7 +106,7 @@
             snapshot_asked: LogIndex(0),
             maintenance_due: now,
             storage_error: None,
-            reported: None,
+            logged_role: None,
             join_through: None,
             leaderless_since: None,
             ended: false,
@@ -118,7 +118,7 @@
             monoio::spawn(forward_wakes(wakes, sender.clone()));
         }
         loop {
-            self.drive(&sender);
+            self.process_ready(&sender);
             let due = self.node.next_timer().min(self.maintenance_due);
             match timeout(self.clock.until(due), events.recv()).await {
                 Ok(Some(event)) => self.handle(event),
@@ -135,11 +135,11 @@
                 info!(event = "log_closed");
                 return;
             }
-            self.pass_time();
+            self.run_timers();
         }
     }
 
-    fn pass_time(&mut self) {
+    fn run_timers(&mut self) {
         let now = self.clock.now();
         if now >= self.node.next_timer() {
             self.node.tick(now);
@@ -157,13 +157,14 @@
             TaskEvent::RequestsEnded => self.ended = true,
             TaskEvent::Received(envelope) => self.handle_envelope(envelope),
             TaskEvent::PeerUsageReceived(peer, used) => {
-                self.pass_on(peer, StateMachineMessage::PeerUsageReceived(used))
+                self.forward_to_state_machine(peer, StateMachineMessage::PeerUsageReceived(used))
             }
-            TaskEvent::PeerWarningsReceived(peer, warnings) => {
-                self.pass_on(peer, StateMachineMessage::PeerWarningsReceived(warnings))
-            }
-            TaskEvent::PeerKnown => self.maintenance_due = self.clock.now(),
-            TaskEvent::WriterWoke => self.handle_writer(),
+            TaskEvent::PeerWarningsReceived(peer, warnings) => self.forward_to_state_machine(
+                peer,
+                StateMachineMessage::PeerWarningsReceived(warnings),
+            ),
+            TaskEvent::PeerIdentified => self.maintenance_due = self.clock.now(),
+            TaskEvent::WriterSignaled => self.handle_writer(),
             TaskEvent::Snapshot(snapshot) => {
                 self.node.snapshot_taken(snapshot.index, Bytes::from(snapshot.bytes));
             }
@@ -176,11 +177,12 @@
         }
     }
 
-    /// Passes on what a peer told past the log.
-    fn pass_on(&self, peer: MemberId, told: StateMachineMessage) {
+    /// Forwards a message that a peer sent outside the log, unless a newer incarnation of it is
+    /// known.
+    fn forward_to_state_machine(&self, peer: MemberId, message: StateMachineMessage) {
         if !self.directory.is_superseded(peer) {
-            // The state machine lives as long as the process.
-            let _ = self.state_machine.send(told);
+            // The state machine's task lives as long as the process.
+            let _ = self.state_machine.send(message);
         }
     }
 
@@ -192,12 +194,12 @@
                 self.change_members(change, reply);
             }
             ReplicationMessage::Status { reply } => {
-                // The asker may have given up.
+                // The requester may have given up.
                 let _ = reply.send(self.status());
             }
-            ReplicationMessage::BroadcastUsage(usage) => self.links.tell_usage(&usage),
+            ReplicationMessage::BroadcastUsage(usage) => self.links.broadcast_usage(&usage),
             ReplicationMessage::BroadcastLeafWarnings(warnings) => {
-                self.links.tell_warnings(&warnings)
+                self.links.broadcast_warnings(&warnings)
             }
         }
     }
@@ -222,7 +224,7 @@
         let number = self.requests.next_number();
         match self.node.read(number) {
             Ok(()) => {
-                let due = self.clock.now().after(ANSWER_LIMIT);
+                let due = self.clock.now().after(LEADER_ANSWER_TIMEOUT);
                 self.requests.add_read(number, due, reply);
             }
             Err(error) => {
@@ -250,7 +252,12 @@
         };
         let number = self.requests.next_number();
         self.node.request_member_change(leader, number, change);
-        self.requests.add_asked_change(number, now.after(ANSWER_LIMIT), change, reply);
+        self.requests.add_unanswered_change(
+            number,
+            now.after(LEADER_ANSWER_TIMEOUT),
+            change,
+            reply,
+        );
     }
 
     fn status(&self) -> ReplicationStatus {
@@ -293,20 +300,20 @@
         }
     }
 
-    /// Peers are told that there is a log before any of its entries is acknowledged: one that has lost its disk
-    /// forms a second cluster when all others say that they have none.
-    fn note_log(&self) {
+    /// Reports to peers that this log has entries, before any of them is acknowledged. A peer that
+    /// lost its disk would form a second cluster if all others still reported empty logs.
+    fn mark_formed(&self) {
         if !self.directory.is_formed() && self.node.status().last.index > LogIndex(0) {
             self.directory.set_formed();
         }
     }
 
-    /// Does what the core asks for.
-    fn drive(&mut self, events: &Tx<TaskEvent>) {
-        self.note_log();
+    /// Processes the core's output: writes, messages, committed entries and answers.
+    fn process_ready(&mut self, events: &Tx<TaskEvent>) {
+        self.mark_formed();
         while let Some(ready) = self.node.ready() {
             if let Some(write) = ready.write {
-                // A writer that failed has said so by an event.
+                // A writer that failed has sent an event.
                 let _ = self.writer.messages.send(WriterMessage::Persist(write));
             }
             ready.messages.into_iter().for_each(|envelope| self.links.send(envelope));
@@ -315,15 +322,15 @@
             }
             ready.committed.into_iter().for_each(|entry| self.apply(entry));
             for outcome in ready.reads {
-                self.requests.read_outcome(outcome);
+                self.requests.resolve_read(outcome);
             }
             for outcome in ready.member_changes {
-                self.joined_or_redirected(outcome.result);
-                self.requests.change_outcome(outcome.number, outcome.result);
+                self.note_join_redirect(outcome.result);
+                self.requests.resolve_change(outcome.number, outcome.result);
             }
             let status = self.node.status();
             self.requests.applied(status.applied, self.last_command, &status.configuration);
-            self.report(&status);
+            self.log_role_change(&status);
             self.ask_for_snapshot(&status, events);
         }
     }
@@ -332,21 +339,21 @@
         let index = snapshot.index();
         self.last_command = index;
         self.snapshot_asked = index;
-        self.requests.skipped_to(index);
+        self.requests.drop_covered(index);
         let snapshot = snapshot.data.to_vec();
         // The state machine's task lives as long as the process.
         let _ = self.state_machine.send(StateMachineMessage::Restore { index, snapshot });
     }
 
     fn apply(&mut self, entry: Entry) {
-        self.requests.accepted(&entry);
+        self.requests.committed(&entry);
         match entry.payload {
             Payload::Empty => {}
             Payload::Command(command) => {
                 self.last_command = entry.index;
                 let apply =
                     StateMachineMessage::Apply { index: entry.index, command: command.to_vec() };
-                // As above.
+                // The state machine's task lives as long as the process.
                 let _ = self.state_machine.send(apply);
             }
             Payload::Configuration(members) => {
@@ -362,7 +369,7 @@
         }
         self.snapshot_asked = status.applied;
         let (reply, receiver) = oneshot::channel();
-        // As above.
+        // The state machine's task lives as long as the process.
         let _ = self.state_machine.send(StateMachineMessage::TakeSnapshot { reply });
         let events = events.clone();
         monoio::spawn(async move {
@@ -373,10 +380,10 @@
         });
     }
 
-    fn report(&mut self, status: &NodeStatus) {
+    fn log_role_change(&mut self, status: &NodeStatus) {
         let state = Some((status.role, status.leader));
-        if self.reported != state {
-            self.reported = state;
+        if self.logged_role != state {
+            self.logged_role = state;
             if status.role != RoleName::Leader {
                 self.requests.drop_proposals();
             }
@@ -386,26 +393,27 @@
         }
     }
 
-    /// What a member does besides: becoming one, and replacing lost data folders.
+    /// Membership maintenance: joining or forming a cluster, replacing members that lost their data
+    /// folder, and growing the cluster.
     fn maintain(&mut self, now: Timestamp) {
-        self.keep_links();
+        self.update_links();
         if self.node.status().last.index > LogIndex(0) {
             self.replace_lost_folders(now);
-            self.grow(now);
-            self.return_if_removed(now);
+            self.grow_cluster(now);
+            self.rejoin_if_removed(now);
             return;
         }
-        match self.planned.first_step(&self.directory) {
-            FirstStep::Wait => {}
-            FirstStep::Form(configuration) => {
+        match self.planned.bootstrap_step(&self.directory) {
+            BootstrapStep::Wait => {}
+            BootstrapStep::Form(configuration) => {
                 info!(event = "cluster_formed", voters = configuration.voters.len());
                 self.node.form(now, configuration);
                 self.node.tick(now);
             }
-            FirstStep::Join(formed, change) => {
-                let through = self.join_through.take().unwrap_or(formed);
+            BootstrapStep::Join(formed, change) => {
+                let contact = self.join_through.take().unwrap_or(formed);
                 let number = self.requests.next_number();
-                self.node.request_member_change(through, number, change);
+                self.node.request_member_change(contact, number, change);
             }
         }
     }
@@ -420,15 +428,15 @@
         }
     }
 
-    /// Connects to all members and seeds, and to whoever joins.
-    fn keep_links(&mut self) {
+    /// Keeps connections to the configured voters, all members and every process that joins.
+    fn update_links(&mut self) {
         let mut nodes: BTreeSet<NodeNumber> = self.planned.voters().collect();
         nodes.extend(self.node.configuration().members().map(|member| member.node));
         nodes.extend(self.directory.known());
-        self.links.keep(&nodes);
+        self.links.keep_only(&nodes);
     }
 
-    fn grow(&mut self, now: Timestamp) {
+    fn grow_cluster(&mut self, now: Timestamp) {
         let Some(growth) = self.planned.growth() else {
             return;
         };
@@ -441,29 +449,29 @@
         }
     }
 
-    /// A member that has heard no leader for long may have been taken out meanwhile, as one that
-    /// was lost: it asks for a place, which changes nothing when it still has one.
-    fn return_if_removed(&mut self, now: Timestamp) {
+    /// Asks to be added as a learner after a long time without a leader: the member may have been
+    /// replaced as lost in the meantime. The request changes nothing if it is still a member.
+    fn rejoin_if_removed(&mut self, now: Timestamp) {
         if self.planned.growth().is_none() || self.node.status().leader.is_some() {
             self.leaderless_since = None;
             return;
         }
         let since = *self.leaderless_since.get_or_insert(now);
-        if now.since(since) < RETURN_AFTER {
+        if now.since(since) < REJOIN_TIMEOUT {
             return;
         }
         self.leaderless_since = Some(now);
         let Some(formed) = self.directory.any_formed() else {
             return;
         };
-        let through = self.join_through.take().unwrap_or(formed);
+        let contact = self.join_through.take().unwrap_or(formed);
         let number = self.requests.next_number();
         let change = MemberChange::AddLearner(self.node.identity());
-        self.node.request_member_change(through, number, change);
+        self.node.request_member_change(contact, number, change);
     }
 
-    /// The member that was asked for a place may know the leader.
-    fn joined_or_redirected(&mut self, result: Result<LogIndex, MemberChangeError>) {
+    /// Directs the next join request to the leader that a refusal names.
+    fn note_join_redirect(&mut self, result: Result<LogIndex, MemberChangeError>) {
         if let Err(MemberChangeError::NotLeader(leader)) = result {
             self.join_through = leader;
         }
@@ -478,13 +486,13 @@
             return;
         }
     };
-    let mut buffer = vec![0; WAKE_BYTES];
+    let mut buffer = vec![0; WAKE_BUFFER_BYTES];
     loop {
         let (result, returned) = stream.read(buffer).await;
         buffer = returned;
         let ended = !matches!(result, Ok(count) if count > 0);
-        // The last wake tells of a writer that ended.
-        if events.send(TaskEvent::WriterWoke).is_err() || ended {
+        // The final wake-up lets the task drain the events of a writer that ended.
+        if events.send(TaskEvent::WriterSignaled).is_err() || ended {
             return;
         }
     }
