--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -1,4 +1,4 @@
-//! Ways in which the data folder fails.
+//! Errors of the data folder.
 
 use std::io;
 use std::path::PathBuf;
@@ -30,20 +30,20 @@
         UnsupportedFormat(path: PathBuf, found: u16, expected: u16) {
             display("{}: the data folder has format {found}, this release reads {expected}: start the release that wrote it", path.display())
         }
-        /// Something that was synced is not what was written.
+        /// A synced file is incomplete or fails its checksum.
         Corrupted(path: PathBuf, offset: u64, reason: &'static str) {
             display("{}: damaged at byte {offset} ({reason}): move the data folder away and start with an empty one, so that the machine rejoins as a new member", path.display())
         }
-        /// The disk is full; nothing of the batch counts, all before it does.
+        /// The disk is full; nothing of the failed batch is kept, earlier batches are.
         Full(path: PathBuf) {
             display("{}: the disk is full: free some space; changes are accepted again by themselves", path.display())
         }
-        /// A sync failed, so that it is unknown what is on the disk.
+        /// A sync failed, so the contents of the disk are unknown.
         SyncFailed(path: PathBuf, error: io::Error) {
             source(error)
             display("{}: a sync failed ({error}): check the disk, then start the process again", path.display())
         }
-        /// An earlier write failed for good.
+        /// An earlier write failed permanently; nothing more is written.
         Stopped(path: PathBuf) {
             display("{}: an earlier write failed: check the disk, then start the process again", path.display())
         }
@@ -51,7 +51,8 @@
 }
 
 impl StorageError {
-    /// Wraps an error of reading or writing `path`.
+    /// Converts an I/O error at `path`: a full disk or an exhausted disk quota becomes
+    /// [`StorageError::Full`].
     pub(super) fn unusable(path: &std::path::Path, error: io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether the same write may succeed later.
+    /// Whether a retry of the same write may succeed.
     pub fn is_temporary(&self) -> bool {
         matches!(self, Self::Full(_))
     }
--- a/crates/control/src/storage/files.rs
+++ b/crates/control/src/storage/files.rs
@@ -1,4 +1,4 @@
-//! Names of files, and replacing a file as a whole.
+//! File names, access modes, atomic replacement and checksums.
 
 use std::fs::{self, DirBuilder, File, OpenOptions, Permissions};
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt, PermissionsExt};
@@ -9,17 +9,17 @@
 use super::error::StorageError;
 use super::io::{StorageIo, write_all};
 
-/// Name of a file that is being written.
-const TEMPORARY: &str = "temporary";
+/// Name of a file that is written before it is renamed to its final name.
+const TEMPORARY_FILE: &str = "temporary";
 
-/// Access to a data folder.
+/// Mode of a data folder: its owner alone has access.
 const FOLDER_MODE: u32 = 0o700;
-/// Access to its files.
+/// Mode of the files in a data folder.
 const FILE_MODE: u32 = 0o600;
-/// The bits of a mode that give access.
-const PERMISSIONS: u32 = 0o777;
+/// Permission bits of a mode.
+const PERMISSION_BITS: u32 = 0o777;
 
-/// A file whose name ends in a number.
+/// A file whose name is a prefix and a number of 20 digits.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct NumberedFile {
     pub number: u64,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The files of a folder with a prefix, by number.
+/// The files of a folder with this prefix, in ascending order of their numbers.
 pub(super) fn numbered_files(
     folder: &Path,
     prefix: &str,
@@ -51,47 +51,49 @@
     Ok(files)
 }
 
-/// Makes a folder and what is in it accessible to its user alone: the configuration of routes holds the keys
-/// of callers. A folder that a former release made is open to others.
-pub(super) fn restrict(folder: &Path) -> Result<(), StorageError> {
+/// Creates the folder if it is missing and restricts it and its files to their owner, since the
+/// route configuration contains callers' keys. Folders that earlier releases created are readable
+/// by others.
+pub(super) fn create_private_folder(folder: &Path) -> Result<(), StorageError> {
     let unusable = |error| StorageError::unusable(folder, error);
     DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(folder).map_err(unusable)?;
-    restrict_to(folder, FOLDER_MODE);
+    restrict_mode(folder, FOLDER_MODE);
     for entry in fs::read_dir(folder).map_err(unusable)? {
         let path = entry.map_err(unusable)?.path();
         if path.is_file() {
-            restrict_to(&path, FILE_MODE);
+            restrict_mode(&path, FILE_MODE);
         }
     }
     Ok(())
 }
 
-fn restrict_to(path: &Path, mode: u32) {
+fn restrict_mode(path: &Path, mode: u32) {
     let restricted = fs::metadata(path).and_then(|metadata| {
-        let is_open = metadata.permissions().mode() & !mode & PERMISSIONS != 0;
+        let is_open = metadata.permissions().mode() & !mode & PERMISSION_BITS != 0;
         if is_open { fs::set_permissions(path, Permissions::from_mode(mode)) } else { Ok(()) }
     });
     if let Err(error) = restricted {
-        // The process may have access without owning the file; the operator has to decide.
+        // The process may have access without owning the file, so only the operator can change it.
         warn!(event = "data_open_to_others", path = %path.display(), %error);
     }
 }
 
-/// How files of a data folder are opened for writing: a new one is accessible to its user alone.
+/// Options that open a file of a data folder for writing; a new file is accessible to its owner
+/// alone.
 pub(super) fn private_file() -> OpenOptions {
     let mut options = OpenOptions::new();
     options.write(true).create(true).mode(FILE_MODE);
     options
 }
 
-/// Writes a file under a temporary name, syncs it, and gives it its name.
+/// Replaces a file atomically: writes it under a temporary name, syncs it and renames it.
 pub(super) fn replace_file(
     io: &mut dyn StorageIo,
     folder: &Path,
     path: &Path,
     bytes: &[u8],
 ) -> Result<(), StorageError> {
-    let temporary = folder.join(TEMPORARY);
+    let temporary = folder.join(TEMPORARY_FILE);
     let unusable = |error| StorageError::unusable(path, error);
     let mut file = private_file().truncate(true).open(&temporary).map_err(unusable)?;
     write_all(io, &mut file, bytes).map_err(unusable)?;
@@ -100,21 +102,21 @@
     sync_folder(io, folder)
 }
 
-/// Makes new and removed names of a folder last.
+/// Syncs a folder, so that created and removed names are durable.
 pub(super) fn sync_folder(io: &mut dyn StorageIo, folder: &Path) -> Result<(), StorageError> {
     let file = File::open(folder).map_err(|error| StorageError::unusable(folder, error))?;
     io.sync(&file).map_err(|error| StorageError::SyncFailed(folder.to_owned(), error))
 }
 
-/// Bytes with their checksum before them.
+/// Prepends the CRC-32 checksum to the bytes.
 pub(super) fn with_checksum(bytes: &[u8]) -> Vec<u8> {
-    let mut whole = crc32fast::hash(bytes).to_be_bytes().to_vec();
-    whole.extend_from_slice(bytes);
-    whole
+    let mut framed = crc32fast::hash(bytes).to_be_bytes().to_vec();
+    framed.extend_from_slice(bytes);
+    framed
 }
 
-/// The bytes after a checksum, if it is right.
-pub(super) fn without_checksum(whole: &[u8]) -> Option<&[u8]> {
-    let (checksum, bytes) = whole.split_first_chunk::<4>()?;
+/// The bytes after a leading CRC-32 checksum; none if it does not match.
+pub(super) fn without_checksum(framed: &[u8]) -> Option<&[u8]> {
+    let (checksum, bytes) = framed.split_first_chunk::<4>()?;
     (u32::from_be_bytes(*checksum) == crc32fast::hash(bytes)).then_some(bytes)
 }
--- a/crates/control/src/storage/identity.rs
+++ b/crates/control/src/storage/identity.rs
@@ -1,4 +1,4 @@
-//! Whose folder it is.
+//! The identity file: format version, cluster and member of a data folder.
 
 use std::fs;
 use std::path::Path;
@@ -12,22 +12,23 @@
 use super::files::{replace_file, with_checksum, without_checksum};
 use super::io::StorageIo;
 
-/// Version of the files' format.
+/// Version of the file formats that this release writes.
 pub const FORMAT_VERSION: u16 = 6;
-/// First version whose documents are read as well; a folder of it is one of the present version once it was opened.
-const FORMER_VERSION: u16 = 3;
-/// First bytes of the file, then the version.
+/// Oldest version that this release reads; opening such a folder converts it to the current
+/// version.
+const OLDEST_READABLE_VERSION: u16 = 3;
+/// First bytes of the file; the version follows.
 const MAGIC: &[u8; 8] = b"gkeelctl";
-const FILE: &str = "identity";
+const IDENTITY_FILE: &str = "identity";
 
-/// Cluster and machine that a folder is opened for.
+/// The cluster and node that a folder is opened for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FolderOwner {
     /// Name of the cluster.
     pub cluster: String,
-    /// Number of the machine.
+    /// Number of the node.
     pub node: NodeNumber,
-    /// What an empty folder becomes; must be higher than for any earlier folder of the machine.
+    /// Incarnation for an empty folder; must exceed that of any earlier folder of the node.
     pub new_incarnation: Incarnation,
 }
 
@@ -37,18 +38,19 @@
     member: MemberId,
 }
 
-/// Reads the identity of a folder, or gives an empty folder its identity.
-pub(super) fn establish(
+/// Reads the identity of a folder, or writes one to an empty folder.
+pub(super) fn read_or_create(
     io: &mut dyn StorageIo,
     folder: &Path,
     owner: &FolderOwner,
 ) -> Result<MemberId, StorageError> {
-    let path = folder.join(FILE);
+    let path = folder.join(IDENTITY_FILE);
     match fs::read(&path) {
         Ok(bytes) => {
             let (version, document) = check(&path, &bytes, owner)?;
             if version < FORMAT_VERSION {
-                // Before anything else is written: releases of former versions could not read it.
+                // Written first, so that an older release refuses the folder instead of misreading
+                // it.
                 write(io, folder, &document)?;
                 info!(event = "folder_taken_over", format = version, now = FORMAT_VERSION);
             }
@@ -74,7 +76,7 @@
     folder: &Path,
     document: &IdentityDocument,
 ) -> Result<(), StorageError> {
-    let path = folder.join(FILE);
+    let path = folder.join(IDENTITY_FILE);
     let document = encode_document(document)
         .map_err(|_| StorageError::Corrupted(path.clone(), 0, "the identity cannot be written"))?;
     let mut bytes = MAGIC.to_vec();
@@ -83,7 +85,7 @@
     replace_file(io, folder, &path, &bytes)
 }
 
-/// The version of the files, and whose they are.
+/// Decodes an identity file and checks version, cluster and node.
 fn check(
     path: &Path,
     bytes: &[u8],
@@ -93,7 +95,7 @@
     let rest = bytes.strip_prefix(MAGIC).ok_or(damaged("not an identity file"))?;
     let (version, rest) = rest.split_first_chunk::<2>().ok_or(damaged("no format version"))?;
     let version = u16::from_be_bytes(*version);
-    if !(FORMER_VERSION..=FORMAT_VERSION).contains(&version) {
+    if !(OLDEST_READABLE_VERSION..=FORMAT_VERSION).contains(&version) {
         return Err(StorageError::UnsupportedFormat(path.to_owned(), version, FORMAT_VERSION));
     }
     let document = without_checksum(rest).ok_or(damaged("wrong checksum"))?;
--- a/crates/control/src/storage/io.rs
+++ b/crates/control/src/storage/io.rs
@@ -1,24 +1,24 @@
-//! Writing and syncing, so that tests can make both fail.
+//! File writes and syncs behind a trait, so that tests can make them fail.
 
 use std::fs::File;
 use std::io::{self, Write};
 
-/// What the storage asks of the operating system when it writes.
+/// Write operations that the storage needs from the operating system.
 pub trait StorageIo: Send {
-    /// Writes some of the bytes at the end of a file; gives how many.
+    /// Appends some of the bytes to a file and returns their number.
     ///
     /// # Errors
     /// As [`Write::write`].
     fn write(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Waits until a file's bytes and length, or a folder's names, are on the disk.
+    /// Makes a file's bytes and length, or a folder's names, durable.
     ///
     /// # Errors
     /// As [`File::sync_all`].
     fn sync(&mut self, file: &File) -> io::Result<()>;
 }
 
-/// The real disk.
+/// Writes to the file system.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DiskIo;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes all bytes, in as many parts as it takes.
+/// Writes all bytes, with as many calls as needed.
 pub(super) fn write_all(
     io: &mut dyn StorageIo,
     file: &mut File,
--- a/crates/control/src/storage/mod.rs
+++ b/crates/control/src/storage/mod.rs
@@ -2,13 +2,14 @@
 //!
 //! | file | holds |
 //! |---|---|
-//! | `lock` | nothing; locked while a process uses the folder |
+//! | `lock` | nothing; locked exclusively while a process uses the folder |
 //! | `identity` | format version, cluster and member; written once |
 //! | `log-N` | records from number N on, appended and synced |
-//! | `snapshot-N` | the state after entry N; replaced as a whole |
+//! | `snapshot-N` | the state after entry N; replaced atomically |
 //!
-//! A record is one batch that was synced as a whole, so a crash can tear only the last one. A
-//! damaged record with a whole one after it was synced before and is refused, never skipped.
+//! A record is a batch that was synced as a whole, so a crash can tear only the last record. A
+//! corrupted record followed by a valid one had been synced; the folder is refused rather than the
+//! record skipped.
 
 mod error;
 mod files;
--- a/crates/control/src/storage/record.rs
+++ b/crates/control/src/storage/record.rs
@@ -1,4 +1,4 @@
-//! Records of the log: a magic number, a sequence number, a length, a checksum, a document.
+//! Records of the log: magic number, sequence number, length, checksum and document.
 
 use gingerkeel_domain::consensus::{Entry, HardState, LogIndex};
 use gingerkeel_protocol::{decode_document, encode_document};
@@ -8,18 +8,18 @@
 const SEQUENCE_AT: usize = 4;
 const LENGTH_AT: usize = 12;
 const CHECKSUM_AT: usize = 16;
-/// Bytes before the document.
+/// Length of the header before the document.
 pub(super) const HEADER_BYTES: usize = 20;
 
-/// A part of a batch, in the order in which the core gave it.
+/// One write of a batch, in the order in which the consensus core issued it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LoggedWrite {
-    /// Whether all entries before are void.
+    /// Whether all earlier entries are discarded.
     pub resets_log: bool,
     pub hard_state: Option<HardState>,
-    /// Entries from the first one's index on replace those before.
+    /// These entries replace all earlier ones from the index of the first of them on.
     pub entries: Vec<Entry>,
-    /// The last entry that was known to be committed.
+    /// The commit index known at the time of the write.
     pub commit: LogIndex,
 }
 
@@ -30,16 +30,16 @@
     pub writes: Vec<LoggedWrite>,
 }
 
-/// What is found at some place of a file.
-pub(super) enum Found {
-    /// A whole record, and how many bytes it takes.
+/// Result of decoding at an offset of a segment.
+pub(super) enum Decoded {
+    /// A valid record and its length in bytes.
     Record(Record, usize),
-    /// Something else.
-    Nothing,
+    /// No valid record.
+    Invalid,
 }
 
 impl Record {
-    /// Lays the record out; none when it cannot be.
+    /// Encodes the record; none if it exceeds the limits of the format.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let document = encode_document(&self.writes).ok()?;
         let length = u32::try_from(document.len()).ok()?;
@@ -51,18 +51,18 @@
         Some(bytes)
     }
 
-    /// Reads what is at the start of `bytes`.
-    pub fn decode(bytes: &[u8]) -> Found {
-        Self::try_decode(bytes).unwrap_or(Found::Nothing)
+    /// Decodes the record at the start of `bytes`.
+    pub fn decode(bytes: &[u8]) -> Decoded {
+        Self::try_decode(bytes).unwrap_or(Decoded::Invalid)
     }
 
-    /// Whether a whole record starts anywhere in `bytes`.
-    pub fn is_in(bytes: &[u8]) -> bool {
+    /// Whether a valid record starts anywhere in `bytes`.
+    pub fn occurs_in(bytes: &[u8]) -> bool {
         let starts = bytes.windows(MAGIC.len()).enumerate().filter(|(_, window)| *window == MAGIC);
-        starts.into_iter().any(|(at, _)| matches!(Self::decode(&bytes[at..]), Found::Record(..)))
+        starts.into_iter().any(|(at, _)| matches!(Self::decode(&bytes[at..]), Decoded::Record(..)))
     }
 
-    fn try_decode(bytes: &[u8]) -> Option<Found> {
+    fn try_decode(bytes: &[u8]) -> Option<Decoded> {
         let header = bytes.get(..HEADER_BYTES)?;
         if header[..SEQUENCE_AT] != MAGIC {
             return None;
@@ -76,7 +76,7 @@
             return None;
         }
         let writes = decode_document(document).ok()?;
-        Some(Found::Record(Self { sequence, writes }, end))
+        Some(Decoded::Record(Self { sequence, writes }, end))
     }
 }
 
--- a/crates/control/src/storage/recovery.rs
+++ b/crates/control/src/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the log back.
+//! Recovery of the log from its segments.
 
 use std::fs::{self, OpenOptions};
 use std::path::Path;
@@ -9,19 +9,19 @@
 use super::error::StorageError;
 use super::files::{NumberedFile, numbered_files};
 use super::io::StorageIo;
-use super::record::{Found, LoggedWrite, Record};
+use super::record::{Decoded, LoggedWrite, Record};
 
 pub(super) const PREFIX: &str = "log-";
 
-/// A segment of the log as it was found.
+/// A segment file of the log.
 #[derive(Debug, Clone)]
 pub(super) struct Segment {
     pub file: NumberedFile,
-    /// Last entry in it; 0 when there is none.
+    /// Index of the last entry in the segment; 0 if it has none.
     pub last_index: LogIndex,
 }
 
-/// The log as it was found.
+/// The log as read from its segments.
 #[derive(Debug, Default)]
 pub(super) struct RecoveredLog {
     pub segments: Vec<Segment>,
@@ -32,7 +32,7 @@
     commit: LogIndex,
 }
 
-/// Reads all segments; a torn tail is cut.
+/// Reads all segments and truncates a torn tail.
 pub(super) fn read_log(
     io: &mut dyn StorageIo,
     folder: &Path,
@@ -45,7 +45,7 @@
             log.next_sequence = file.number;
         }
         if file.number != log.next_sequence {
-            return Err(StorageError::Corrupted(file.path, 0, "a segment before it is missing"));
+            return Err(StorageError::Corrupted(file.path, 0, "the preceding segment is missing"));
         }
         log.read_segment(io, file, position + 1 == count)?;
     }
@@ -64,8 +64,8 @@
         let mut segment = Segment { file, last_index: LogIndex(0) };
         let mut offset = 0;
         while offset < bytes.len() {
-            let Found::Record(record, length) = Record::decode(&bytes[offset..]) else {
-                cut_torn_tail(io, &segment.file.path, &bytes, offset, is_last)?;
+            let Decoded::Record(record, length) = Record::decode(&bytes[offset..]) else {
+                truncate_torn_tail(io, &segment.file.path, &bytes, offset, is_last)?;
                 break;
             };
             if record.sequence != self.next_sequence {
@@ -99,8 +99,11 @@
         self.entries.extend(write.entries);
     }
 
-    /// Joins the log and the snapshot.
-    pub fn join(
+    /// Combines the log with the latest snapshot.
+    ///
+    /// # Errors
+    /// [`StorageError::Corrupted`] if entries are missing after the snapshot.
+    pub fn combine(
         &mut self,
         folder: &Path,
         snapshot: Option<Snapshot>,
@@ -112,7 +115,8 @@
         let conflicting = covered.is_some_and(|entry| entry.term != position.term);
         let ends_before = entries.last().is_some_and(|last| last.index < position.index);
         if conflicting || ends_before {
-            // The process ended between an installed snapshot and the removal of the old log.
+            // The process stopped after it installed a snapshot and before it discarded the old
+            // log.
             entries.clear();
         }
         entries.retain(|entry| entry.index > position.index);
@@ -124,24 +128,25 @@
     }
 }
 
-/// Cuts what an unfinished write left at the end of the last segment; refuses anything else.
-fn cut_torn_tail(
+/// Truncates an incomplete write at the end of the last segment; refuses any other corruption.
+fn truncate_torn_tail(
     io: &mut dyn StorageIo,
     path: &Path,
     bytes: &[u8],
     offset: usize,
     is_last: bool,
 ) -> Result<(), StorageError> {
-    // A record after the damage was synced later, so that the damaged one had been synced, too.
-    if !is_last || Record::is_in(&bytes[offset + 1..]) {
-        let reason = "a record that was synced is not whole";
+    // A valid record after the corruption was synced later, so the corrupted one had been synced
+    // too.
+    if !is_last || Record::occurs_in(&bytes[offset + 1..]) {
+        let reason = "a synced record is incomplete or corrupted";
         return Err(StorageError::Corrupted(path.to_owned(), offset as u64, reason));
     }
     let unusable = |error| StorageError::unusable(path, error);
     let file = OpenOptions::new().write(true).open(path).map_err(unusable)?;
     file.set_len(offset as u64).map_err(unusable)?;
     io.sync(&file).map_err(unusable)?;
-    let cut = bytes.len() - offset;
-    warn!(event = "torn_tail_cut", file = %path.display(), offset, bytes = cut);
+    let removed = bytes.len() - offset;
+    warn!(event = "torn_tail_cut", file = %path.display(), offset, bytes = removed);
     Ok(())
 }
--- a/crates/control/src/storage/snapshot_file.rs
+++ b/crates/control/src/storage/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Snapshots on disk, each a file of its own.
+//! Snapshots on disk, one file each.
 
 use std::fs;
 use std::path::Path;
@@ -14,7 +14,7 @@
 
 const PREFIX: &str = "snapshot-";
 
-/// Writes a snapshot and removes earlier ones.
+/// Writes a snapshot atomically, then removes older ones.
 pub(super) fn write(
     io: &mut dyn StorageIo,
     folder: &Path,
@@ -33,7 +33,7 @@
     sync_folder(io, folder)
 }
 
-/// Reads the latest snapshot.
+/// Reads the latest snapshot; none if there is no file.
 pub(super) fn read_latest(folder: &Path) -> Result<Option<Snapshot>, StorageError> {
     let files = numbered_files(folder, PREFIX)?;
     let Some(file) = files.last() else {
--- a/crates/control/src/storage/storage_folder.rs
+++ b/crates/control/src/storage/storage_folder.rs
@@ -1,4 +1,4 @@
-//! The data folder while it is in use.
+//! An open data folder: appends records, rolls segments and installs snapshots.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use rustix::io::Errno;
 
 use super::error::StorageError;
-use super::files::{NumberedFile, private_file, restrict, sync_folder};
+use super::files::{NumberedFile, create_private_folder, private_file, sync_folder};
 use super::identity::{self, FolderOwner};
 use super::io::{StorageIo, write_all};
 use super::record::{LoggedWrite, Record};
@@ -18,56 +18,58 @@
 use super::snapshot_file;
 
 const LOCK_FILE: &str = "lock";
-/// Bytes after which a new segment is begun.
+/// Size in bytes from which a segment is closed and a new one is started.
 const SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 
-/// A data folder that this process has locked.
+/// A data folder that this process holds locked.
 pub struct Storage {
     folder: PathBuf,
     /// Held for as long as the folder is in use.
     _lock: File,
     io: Box<dyn StorageIo>,
+    /// Segments that are complete, oldest first.
     closed: Vec<Segment>,
     open: Option<OpenSegment>,
     next_sequence: u64,
     hard_state: HardState,
+    /// Whether a write failed permanently.
     stopped: bool,
 }
 
 struct OpenSegment {
     segment: Segment,
     file: File,
-    /// Bytes that are synced.
+    /// Number of bytes that are synced.
     length: u64,
 }
 
-/// A folder and what was in it.
+/// An opened folder with its recovered contents.
 pub struct OpenedStorage {
-    /// The folder.
+    /// The folder, ready for writes.
     pub storage: Storage,
-    /// Whose folder it is.
+    /// The member that the folder belongs to.
     pub identity: MemberId,
-    /// What was in it.
+    /// Hard state, snapshot and entries that were recovered.
     pub recovered: Recovered,
 }
 
 impl Storage {
-    /// Locks a folder, checks that it is the right one, and reads it; an empty one becomes the
-    /// owner's.
+    /// Locks a folder, checks its identity and recovers its contents; an empty folder is
+    /// initialized for the owner.
     ///
     /// # Errors
-    /// A [`StorageError`] that names the file and the remedy.
+    /// A [`StorageError`] with the path and a remedy.
     pub fn open(
         folder: &Path,
         owner: &FolderOwner,
         mut io: Box<dyn StorageIo>,
     ) -> Result<OpenedStorage, StorageError> {
-        restrict(folder)?;
+        create_private_folder(folder)?;
         let lock = lock(folder)?;
-        let identity = identity::establish(io.as_mut(), folder, owner)?;
+        let identity = identity::read_or_create(io.as_mut(), folder, owner)?;
         let snapshot = snapshot_file::read_latest(folder)?;
         let mut log = read_log(io.as_mut(), folder)?;
-        let recovered = log.join(folder, snapshot)?;
+        let recovered = log.combine(folder, snapshot)?;
         let storage = Self {
             folder: folder.to_owned(),
             _lock: lock,
@@ -81,12 +83,11 @@
         Ok(OpenedStorage { storage, identity, recovered })
     }
 
-    /// Persists writes in their order; when this gives `Ok`, all are on the disk.
+    /// Persists writes in order; after `Ok` all of them are durable.
     ///
     /// # Errors
-    /// [`StorageError::Full`] when nothing of the last batch counts and the same writes may be
-    /// tried again; any other error means that nothing more is written until the process starts
-    /// again.
+    /// [`StorageError::Full`] if nothing of the failed batch was kept, so that the same writes may
+    /// be retried. After any other error nothing is written until the process restarts.
     pub fn persist(&mut self, writes: Vec<Write>) -> Result<(), StorageError> {
         if self.stopped {
             return Err(StorageError::Stopped(self.folder.clone()));
@@ -123,10 +124,10 @@
         self.remove_covered_segments(write.snapshot.metadata.position.index)
     }
 
-    /// Removes the earliest segments that a snapshot covers; the open one stays.
+    /// Removes the oldest segments that a snapshot covers, except the open one.
     fn remove_covered_segments(&mut self, index: LogIndex) -> Result<(), StorageError> {
         self.close_segment();
-        // Only a later segment, which repeats the hard state, makes earlier ones superfluous.
+        // Older segments may go only once a later one repeats the hard state.
         self.append(vec![LoggedWrite::default()])?;
         let covered = self.closed.iter().take_while(|segment| segment.last_index <= index).count();
         for segment in self.closed.drain(..covered) {
@@ -150,7 +151,7 @@
         if open.length == 0
             && let Some(first) = writes.first_mut()
         {
-            // Each segment repeats the hard state, so that earlier ones can be removed.
+            // Each segment repeats the hard state, so that older ones can be removed.
             first.hard_state = first.hard_state.or(Some(self.hard_state));
         }
         let path = &open.segment.file.path;
@@ -162,7 +163,7 @@
         };
         if let Err(error) = write_all(self.io.as_mut(), &mut open.file, &bytes) {
             let error = StorageError::unusable(path, error);
-            // What was written in part must not stand before the next try.
+            // A partial write must not precede the next attempt.
             return match open.file.set_len(open.length) {
                 Ok(()) => Err(error),
                 Err(cause) => Err(StorageError::Io(path.clone(), cause)),
@@ -185,7 +186,7 @@
         }
         let file = NumberedFile::new(&self.folder, PREFIX, self.next_sequence);
         let unusable = |error| StorageError::unusable(&file.path, error);
-        // A file of this name is empty: it was begun and nothing was synced to it.
+        // An existing file of this name holds no synced record.
         let handle = private_file().append(true).open(&file.path).map_err(unusable)?;
         handle.set_len(0).map_err(unusable)?;
         sync_folder(self.io.as_mut(), &self.folder)?;
--- a/crates/control/src/storage/writer.rs
+++ b/crates/control/src/storage/writer.rs
@@ -1,7 +1,7 @@
-//! A thread that persists writes, so that a slow disk does not hold up heartbeats.
+//! A thread that persists writes, so that a slow disk does not delay heartbeats.
 //!
-//! Writes that arrive while a sync runs are persisted together by the next one. The thread tells
-//! the task of its work by a byte on a socket pair, which wakes the task's reactor.
+//! Writes that arrive during a sync are batched into the next one. The thread signals events by a
+//! byte on a socket pair, which wakes the reactor of the replication task.
 
 use std::io::Write as _;
 use std::os::unix::net::UnixStream;
@@ -14,33 +14,33 @@
 use super::error::StorageError;
 use super::storage_folder::Storage;
 
-/// Time between tries on a full disk.
-const FULL_DISK_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between retries on a full disk.
+const FULL_DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A message to the writer.
+/// A message to the writer thread.
 pub enum WriterMessage {
-    /// Persist this after all before.
+    /// Persist this write after all earlier ones.
     Persist(Write),
 }
 
-/// A message from the writer.
+/// An event from the writer thread.
 #[derive(Debug)]
 pub enum WriterEvent {
-    /// All writes up to this one are on the disk.
+    /// All writes up to this one are durable.
     Persisted(WriteNumber),
-    /// The disk is full; the writer tries again until there is room.
+    /// The disk is full; the writer retries until there is space.
     Full(StorageError),
-    /// Nothing more is written; the process has to be started again.
+    /// A write failed permanently; nothing is written until the process restarts.
     Failed(StorageError),
 }
 
-/// The task's end of the writer.
+/// Handle of the writer thread.
 pub struct Writer {
-    /// Writes to the thread. When it is dropped, the thread ends and gives the folder free.
+    /// Sends writes to the thread. Dropping the sender stops the thread, which unlocks the folder.
     pub messages: Sender<WriterMessage>,
-    /// Events from the thread; look after each wake.
+    /// Events from the thread; to be drained after each wake-up.
     pub events: Receiver<WriterEvent>,
-    /// Readable when there are events.
+    /// Readable when events are queued.
     pub wakes: Option<UnixStream>,
 }
 
@@ -48,7 +48,7 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// An [`std::io::Error`] when no thread or socket can be had.
+    /// An [`std::io::Error`] if the thread or the socket pair cannot be created.
     pub fn start(storage: Storage) -> std::io::Result<Self> {
         let (messages, receiver) = channel();
         let (sender, events) = channel();
@@ -79,32 +79,32 @@
         }
     }
 
-    /// Persists a batch, however long the disk is full; false when it fails for good.
+    /// Persists a batch, retrying while the disk is full; false if the thread must stop.
     fn persist(&mut self, batch: Vec<Write>) -> bool {
         let last = batch.last().map_or(WriteNumber(0), |write| write.number);
-        let mut told = false;
+        let mut reported = false;
         loop {
             match self.storage.persist(batch.clone()) {
-                Ok(()) => return self.tell(WriterEvent::Persisted(last)),
+                Ok(()) => return self.report(WriterEvent::Persisted(last)),
                 Err(error) if error.is_temporary() => {
-                    if !told && !self.tell(WriterEvent::Full(error)) {
+                    if !reported && !self.report(WriterEvent::Full(error)) {
                         return false;
                     }
-                    told = true;
-                    thread::sleep(FULL_DISK_PAUSE);
+                    reported = true;
+                    thread::sleep(FULL_DISK_RETRY_INTERVAL);
                 }
                 Err(error) => {
-                    self.tell(WriterEvent::Failed(error));
+                    self.report(WriterEvent::Failed(error));
                     return false;
                 }
             }
         }
     }
 
-    /// Tells the task; false when it is gone.
-    fn tell(&mut self, event: WriterEvent) -> bool {
+    /// Sends an event and wakes the task; false if the task has ended.
+    fn report(&mut self, event: WriterEvent) -> bool {
         let sent = self.events.send(event).is_ok();
-        // A full socket is readable, which is all that is needed.
+        // If the socket buffer is full, the other end is readable, which is all that is needed.
         let _ = self.waker.write(&[1]);
         sent
     }
