--- a/crates/control/src/change_proposals.rs
+++ b/crates/control/src/change_proposals.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalog that operators of routes give without a session.
+//! Catalog changes from the routes interface, whose operators have no session of their own.
 
 use std::time::Duration;
 
@@ -14,16 +14,17 @@
 use crate::cluster_task::ClusterMessage;
 use crate::replication::ProposeError;
 
-/// Time until a change is proposed again that met no leader, or one that lost its office.
-const LEADER_WAIT: Duration = Duration::from_millis(100);
+/// Pause before a retry when there is no leader, or the leader changed.
+const LEADER_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The outcome of a change is not known.
+/// It is unknown whether the change was accepted.
 pub struct OutcomeUnknown;
 
-/// Proposes a change under a session of its own, named after `prefix`, again and again while there is no leader.
+/// Proposes a change under a new random session whose name starts with `prefix`, and retries while
+/// there is no leader.
 ///
 /// # Errors
-/// [`OutcomeUnknown`]: it may be accepted or not.
+/// [`OutcomeUnknown`] if the change may have been accepted or not.
 pub async fn propose(
     change: Change,
     based_on: Option<Revision>,
@@ -39,10 +40,10 @@
         let _ = cluster.send(ClusterMessage::Change { request: request.clone(), reply });
         match receiver.await.map_err(|_| OutcomeUnknown)? {
             Ok(outcome) => return Ok(outcome),
-            // The same command again has the same outcome, whether this one was taken or not.
+            // Session and sequence number make the command idempotent, so a retry is safe.
             Err(
                 ProposeError::Refused(consensus::ProposeError::NoLeader) | ProposeError::Dropped,
-            ) => sleep(LEADER_WAIT).await,
+            ) => sleep(LEADER_RETRY_PAUSE).await,
             Err(_) => return Err(OutcomeUnknown),
         }
     }
--- a/crates/control/src/cluster_task/message.rs
+++ b/crates/control/src/cluster_task/message.rs
@@ -140,7 +140,7 @@
         /// The connection.
         connection: ConnectionId,
         /// Whether the broker closed it, which says that it has ended or turned elsewhere.
-        by_broker: bool,
+        closed_by_broker: bool,
     },
 }
 
--- a/crates/control/src/cluster_task/mod.rs
+++ b/crates/control/src/cluster_task/mod.rs
@@ -269,7 +269,8 @@
                 self.subscribers.answer_trial(broker, *ticket, granted);
             }
             (CommandBody::ReportDirectory(delta), _) => {
-                // Orders that came before the list go before it: a roll-out keeps requests from leaves of its version.
+                // Orders that came before the list go before it: a roll-out keeps requests from
+                // leaves of its version.
                 self.subscribers.publish_catalog(&self.state);
                 let version = self.state.directory().version().0;
                 info!(event = "directory_changed", version);
@@ -328,8 +329,8 @@
         ServiceView {
             named: is_routed || is_listed,
             names_any: routed.clone().next().is_some() || leaves().next().is_some(),
-            runs_already: is_listed && of_service().all(|leaf| leaf.version == order.target),
-            taken: self.state.catalog().rollouts().took(order),
+            already_running: is_listed && of_service().all(|leaf| leaf.version == order.target),
+            accepted_before: self.state.catalog().rollouts().took(order),
         }
     }
 
@@ -431,9 +432,9 @@
                 }
             }
             FeedEvent::ObservedRollouts { reports } => self.rollouts.report(reports),
-            FeedEvent::Closed { connection, by_broker } => {
+            FeedEvent::Closed { connection, closed_by_broker } => {
                 if let Some(gone) = self.subscribers.closed(connection) {
-                    self.quota_use.broker_left(self.clock.now(), &gone.broker, by_broker);
+                    self.quota_use.broker_left(self.clock.now(), &gone.broker, closed_by_broker);
                 }
             }
         }
--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -1,7 +1,7 @@
 //! The use of quotas: what brokers and other control processes report, and what is told of it.
 //!
-//! Nothing of it is replicated. It has rounds of its own, shorter than those of reports to the log: what
-//! tenants send within a round can be too much once.
+//! Nothing of it is replicated. It has rounds of its own, shorter than those of reports to the log:
+//! what tenants send within a round can be too much once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use super::{ClusterMessage, ClusterTask, SubscriberIdentity};
 use crate::replication::PeerUsageReport;
 
-/// Time between two rounds. A tenant that sends more than its quota has it exceeded by what it sends in
-/// about two of them.
+/// Time between two rounds. A tenant that sends more than its quota has it exceeded by what it
+/// sends in about two of them.
 const USAGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which operators are shown what brokers were told of a tenant: they are told again within a second
-/// while it is near its quota.
+/// Time for which operators are shown what brokers were told of a tenant: they are told again
+/// within a second while it is near its quota.
 const SHOWN_FOR: Duration = Duration::from_secs(2);
 
 /// What this process knows of the use of quotas.
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Takes over the quotas of the replicated configuration, where it is newer than the one that counts.
+    /// Takes over the quotas of the replicated configuration, where it is newer than the one that
+    /// counts.
     pub fn follow_quotas(&mut self, now: Timestamp, state: &ClusterState) {
         let Some(accepted) = state.routes().current() else {
             return;
@@ -153,15 +154,16 @@
 }
 
 impl ClusterTask {
-    /// Tells the other control processes and the brokers that are fed here what tenants used, and which leaves to avoid.
+    /// Tells the other control processes and the brokers that are fed here what tenants used, and
+    /// which leaves to avoid.
     pub(super) fn usage_round(&mut self) {
         let now = self.clock.now();
         if let Some(usage) = self.quota_use.for_peers(now) {
-            self.replication.tell_usage(usage);
+            self.replication.broadcast_usage(usage);
         }
         let warnings = self.subscribers.publish_warnings();
         if !warnings.is_empty() {
-            self.replication.tell_warnings(warnings);
+            self.replication.broadcast_warnings(warnings);
         }
         self.quota_use.begin_round(now);
         if self.quota_use.can_tell(now) {
--- a/crates/control/src/feed/connection.rs
+++ b/crates/control/src/feed/connection.rs
@@ -1,4 +1,4 @@
-//! One broker's connection: frames in, frames out.
+//! A broker's connection: decodes its messages and writes feed messages to it.
 
 use std::time::Duration;
 
@@ -18,57 +18,57 @@
 use super::traffic::FeedTraffic;
 use crate::cluster_task::{ClusterMessage, ConnectionId, FeedEvent, SubscriberIdentity};
 
-/// Time that a broker has to say something; it renews its lease every second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(10);
-/// Time that a broker has to take a frame.
-const WRITE_LIMIT: Duration = Duration::from_secs(10);
+/// Time without a message after which a broker is disconnected; it renews its lease every second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time limit for writing a frame.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 type Reader = FramedRead<OwnedReadHalf<TcpStream>, ()>;
 
-/// Passes the broker's messages on until the connection ends.
+/// Forwards the broker's messages to the cluster task until the connection ends.
 ///
 /// # Errors
-/// A [`ProtocolError`] for a broken frame, a message out of order, silence or a lost socket.
-pub async fn follow(
+/// A [`ProtocolError`] for a malformed frame, an unexpected message, a timeout or a socket error.
+pub async fn receive_messages(
     mut reader: Reader,
     connection: ConnectionId,
     cluster: &Tx<ClusterMessage>,
     feed: Tx<FeedMessage>,
 ) -> Result<(), ProtocolError> {
-    let Some(first) = next(&mut reader).await? else {
+    let Some(first) = next_message(&mut reader).await? else {
         return Ok(());
     };
-    let (subscriber, revision) = understand_subscription(first, &feed)?;
+    let (subscriber, revision) = decode_subscription(first, &feed)?;
     let event = FeedEvent::Subscribed { connection, subscriber, revision, feed };
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::Feed(event));
-    while let Some(message) = next(&mut reader).await? {
-        let event = understand(message, connection)?;
+    while let Some(message) = next_message(&mut reader).await? {
+        let event = decode_event(message, connection)?;
         // The cluster task lives as long as the process.
         let _ = cluster.send(ClusterMessage::Feed(event));
     }
     Ok(())
 }
 
-async fn next(reader: &mut Reader) -> Result<Option<SubscriberMessage>, ProtocolError> {
+async fn next_message(reader: &mut Reader) -> Result<Option<SubscriberMessage>, ProtocolError> {
     let mut codec = FrameCodec::<SubscriberMessage>::default();
-    match timeout(SILENCE_LIMIT, reader.next_with(&mut codec)).await {
+    match timeout(IDLE_TIMEOUT, reader.next_with(&mut codec)).await {
         Ok(message) => message.transpose(),
-        Err(_) => Err(ProtocolError::Malformed("the broker is silent".into())),
+        Err(_) => Err(ProtocolError::Malformed("no message within 10 s".into())),
     }
 }
 
-fn understand_subscription(
+fn decode_subscription(
     message: SubscriberMessage,
     feed: &Tx<FeedMessage>,
 ) -> Result<(SubscriberIdentity, Revision), ProtocolError> {
     let SubscriberMessage::Subscribe { protocol_version, run, revision, broker, region, zone } =
         message
     else {
-        return Err(ProtocolError::Malformed("message before the subscription".into()));
+        return Err(ProtocolError::Malformed("first message is not a subscription".into()));
     };
     let refuse = |reason, text: &str| {
-        // A writer that ended means that the broker is gone.
+        // If the writer has ended, the broker is gone.
         let _ = feed.send(FeedMessage::Refused { protocol_version: PROTOCOL_VERSION, reason });
         ProtocolError::Malformed(text.to_owned())
     };
@@ -77,7 +77,8 @@
         return Err(refuse(FeedRefusal::ProtocolVersion, &text));
     }
     let identity = identity(&broker, run, &region, &zone);
-    let identity = identity.ok_or_else(|| refuse(FeedRefusal::BadName, "a name is not usable"))?;
+    let identity = identity
+        .ok_or_else(|| refuse(FeedRefusal::BadName, "name of broker, region or zone is invalid"))?;
     Ok((identity, Revision(revision)))
 }
 
@@ -97,7 +98,7 @@
     })
 }
 
-fn understand(
+fn decode_event(
     message: SubscriberMessage,
     connection: ConnectionId,
 ) -> Result<FeedEvent, ProtocolError> {
@@ -142,7 +143,7 @@
     }
 }
 
-/// Writes messages until the feed is closed or the broker takes none.
+/// Writes messages until the feed is closed or a write fails or times out.
 pub async fn write_messages(
     mut writer: OwnedWriteHalf<TcpStream>,
     mut messages: Rx<FeedMessage>,
@@ -156,12 +157,12 @@
                 break;
             }
         };
-        traffic.sent(message.kind(), frame.len());
-        match timeout(WRITE_LIMIT, writer.write_all(frame)).await {
+        traffic.record(message.kind(), frame.len());
+        match timeout(WRITE_TIMEOUT, writer.write_all(frame)).await {
             Ok((Ok(_), _)) => {}
             _ => break,
         }
     }
-    // The peer may have closed the connection already.
+    // The broker may have closed the connection already.
     let _ = writer.shutdown().await;
 }
--- a/crates/control/src/feed/mod.rs
+++ b/crates/control/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! Feeds of brokers: their connections.
+//! The feed listener: accepts brokers' connections.
 
 mod connection;
 mod traffic;
@@ -16,16 +16,21 @@
 
 use traffic::FeedTraffic;
 
-/// Accepts brokers' connections for ever.
+/// Accepts connections of brokers for the life of the process.
 pub async fn serve(listener: TcpListener, cluster: Tx<ClusterMessage>) {
-    let mut last = ConnectionId(0);
+    let mut last_connection = ConnectionId(0);
     let traffic = FeedTraffic::default();
-    monoio::spawn(traffic.clone().tell());
+    monoio::spawn(traffic.clone().log_periodically());
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                last.0 += 1;
-                monoio::spawn(converse(stream, last, cluster.clone(), traffic.clone()));
+                last_connection.0 += 1;
+                monoio::spawn(handle_connection(
+                    stream,
+                    last_connection,
+                    cluster.clone(),
+                    traffic.clone(),
+                ));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "feed", %error);
@@ -35,28 +40,29 @@
     }
 }
 
-async fn converse(
+async fn handle_connection(
     stream: TcpStream,
     connection: ConnectionId,
     cluster: Tx<ClusterMessage>,
     traffic: FeedTraffic,
 ) {
-    // Small frames must not wait for each other; a socket without the option still works.
+    // Small frames must not be delayed by Nagle's algorithm; without the option they are only
+    // slower.
     let _ = stream.set_nodelay(true);
     let (read_half, write_half) = stream.into_split();
     let reader = FramedRead::new(read_half, ());
     let (feed, messages) = unbounded::channel::<FeedMessage>();
     monoio::spawn(connection::write_messages(write_half, messages, traffic));
-    let ended = connection::follow(reader, connection, &cluster, feed).await;
-    let by_broker = ended.as_ref().err().is_none_or(is_reset);
+    let ended = connection::receive_messages(reader, connection, &cluster, feed).await;
+    let closed_by_broker = ended.as_ref().err().is_none_or(is_reset);
     if let Err(error) = ended {
         info!(event = "feed_ended", connection = connection.0, %error);
     }
     // The cluster task lives as long as the process.
-    let _ = cluster.send(ClusterMessage::Feed(FeedEvent::Closed { connection, by_broker }));
+    let _ = cluster.send(ClusterMessage::Feed(FeedEvent::Closed { connection, closed_by_broker }));
 }
 
-/// Whether the broker's machine says that nobody holds the connection any more.
+/// Whether the connection was reset: the broker's process has ended, while its machine still runs.
 fn is_reset(error: &ProtocolError) -> bool {
     matches!(error, ProtocolError::Socket(error) if error.kind() == ErrorKind::ConnectionReset)
 }
--- a/crates/control/src/feed/traffic.rs
+++ b/crates/control/src/feed/traffic.rs
@@ -1,4 +1,4 @@
-//! What is sent to brokers, by kind of message.
+//! Counts messages and bytes sent to brokers, by kind of message.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,35 +8,36 @@
 use monoio::time::sleep;
 use tracing::info;
 
-/// Time between two lines about what was sent.
-const TOLD_EACH: Duration = Duration::from_secs(10);
+/// Interval between log lines about sent messages.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Messages of one kind.
+/// Messages of one kind and their total size.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Sent {
     messages: u64,
     bytes: u64,
 }
 
-/// What was sent to all brokers since it was told last, by kind of message.
+/// Messages sent to all brokers since the last log line, by kind.
 #[derive(Clone, Default)]
 pub struct FeedTraffic {
     sent: Rc<RefCell<BTreeMap<&'static str, Sent>>>,
 }
 
 impl FeedTraffic {
-    /// A message of a kind was sent.
-    pub fn sent(&self, kind: &'static str, bytes: usize) {
+    /// Counts one message of a kind with its size in bytes.
+    pub fn record(&self, kind: &'static str, bytes: usize) {
         let mut all = self.sent.borrow_mut();
         let of_kind = all.entry(kind).or_default();
         of_kind.messages += 1;
         of_kind.bytes += bytes as u64;
     }
 
-    /// Logs for ever what was sent: the link of a machine is small, and who starts anew gets large copies.
-    pub async fn tell(self) {
+    /// Logs the traffic periodically. Full copies for restarting brokers can take up much of a
+    /// machine's bandwidth.
+    pub async fn log_periodically(self) {
         loop {
-            sleep(TOLD_EACH).await;
+            sleep(LOG_INTERVAL).await;
             for (kind, Sent { messages, bytes }) in self.sent.take() {
                 info!(event = "feed_sent", kind, messages, bytes);
             }
--- a/crates/control/src/order_checks.rs
+++ b/crates/control/src/order_checks.rs
@@ -1,4 +1,4 @@
-//! What a control process knows beside the replicated state, by which it checks and completes orders.
+//! Checks and completes orders with settings that are not part of the replicated state.
 
 use gingerkeel_domain::catalog::Change;
 use gingerkeel_domain::rollout::ExposureLimit;
@@ -9,17 +9,17 @@
 use crate::rollout_orders;
 use crate::zone_orders::check_zone;
 
-/// What the settings of this process say of orders.
+/// Settings of this process that apply to orders.
 pub struct OrderChecks {
-    /// Zones that are known, and their regions.
+    /// The configured zones with their regions.
     pub places: KnownPlaces,
-    /// What a version may get that is not known to be sound.
+    /// Maximum exposure of requests to a version on trial.
     pub limit: ExposureLimit,
 }
 
 impl OrderChecks {
-    /// Refuses what only this process can tell from a slip of the pen, as a zone that nobody knows, and adds
-    /// to an order what its statement leaves out.
+    /// Refuses an order that names an unknown zone or service, and adds the fields that its
+    /// statement leaves out, such as the exposure limit.
     ///
     /// # Errors
     /// Why the change is refused, with the remedy.
--- a/crates/control/src/replication_client.rs
+++ b/crates/control/src/replication_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the replicated log, with a limit of time.
+//! A client of the replicated log with timeouts.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::replication::{ProposeError, ReadError, ReplicationMessage};
 use crate::wall_clock::wall_time;
 
-/// Time that the log has to take a command.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(3);
-/// Time that a quorum has to confirm a read.
-const READ_LIMIT: Duration = Duration::from_secs(1);
+/// Time limit for committing a command.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit for a quorum to confirm a read.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sends requests to the replicated log.
 #[derive(Clone)]
@@ -27,15 +27,15 @@
 }
 
 impl ReplicationClient {
-    /// A client of the log behind `log`.
+    /// Creates a client that sends its requests to `log`.
     pub fn new(log: Tx<ReplicationMessage>) -> Self {
         Self { log }
     }
 
-    /// Proposes a command of the present time.
+    /// Proposes a command, stamped with the current wall-clock time.
     ///
     /// # Errors
-    /// A [`ProposeError`]; the command may be accepted all the same.
+    /// A [`ProposeError`]; unless it was refused, the command may still be committed.
     pub async fn propose(&self, body: CommandBody) -> Result<(), ProposeError> {
         let command = pack_document(&Command { at: wall_time(), body }).map_err(|error| {
             error!(event = "command_not_encoded", %error);
@@ -45,44 +45,44 @@
         self.log
             .send(ReplicationMessage::Propose { command, reply })
             .map_err(|_| ProposeError::Stopping)?;
-        match timeout(PROPOSE_LIMIT, receiver).await {
+        match timeout(PROPOSE_TIMEOUT, receiver).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) => Err(ProposeError::Stopping),
             Err(_) => Err(ProposeError::NoQuorum),
         }
     }
 
-    /// Has the other control processes told what tenants used. What cannot be told is contained in what is
-    /// told later.
-    pub fn tell_usage(&self, usage: PeerUsage) {
+    /// Broadcasts tenants' usage to the other control processes. Totals are cumulative, so a later
+    /// message makes up for a lost one.
+    pub fn broadcast_usage(&self, usage: PeerUsage) {
         // The log ends with the process.
         let _ = self.log.send(ReplicationMessage::BroadcastUsage(usage));
     }
 
-    /// Has the other control processes told which leaves to avoid. What cannot be told is lost: a warning ends by
-    /// itself.
-    pub fn tell_warnings(&self, warnings: Vec<LeafWarning>) {
-        // As above.
+    /// Broadcasts warnings about leaves to the other control processes. A lost message is not sent
+    /// again, since warnings expire.
+    pub fn broadcast_warnings(&self, warnings: Vec<LeafWarning>) {
+        // The log ends with the process.
         let _ = self.log.send(ReplicationMessage::BroadcastLeafWarnings(warnings));
     }
 
-    /// The role of this process in the cluster; none while the log ends.
+    /// The role of this process in the cluster; none if the log has stopped.
     pub async fn role(&self) -> Option<RoleName> {
         let (reply, receiver) = oneshot::channel();
         self.log.send(ReplicationMessage::Status { reply }).ok()?;
         receiver.await.ok().map(|status| status.role)
     }
 
-    /// Confirms up to where the log is accepted.
+    /// Has a quorum confirm the commit index; a linearizable read must wait until it is applied.
     ///
     /// # Errors
-    /// A [`ReadError`] when no quorum confirmed it in time.
+    /// A [`ReadError`] if no quorum confirmed it in time.
     pub async fn confirm_read(&self) -> Result<LogIndex, ReadError> {
         let (reply, receiver) = oneshot::channel();
         self.log
             .send(ReplicationMessage::ConfirmRead { reply })
             .map_err(|_| ReadError::Stopping)?;
-        match timeout(READ_LIMIT, receiver).await {
+        match timeout(READ_TIMEOUT, receiver).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) => Err(ReadError::Stopping),
             Err(_) => Err(ReadError::NoQuorum),
--- a/crates/control/src/rollout_orders.rs
+++ b/crates/control/src/rollout_orders.rs
@@ -1,8 +1,8 @@
-//! Orders of roll-outs, as operators of routes give them: without a session, and sent again, also to another
-//! process, when no answer came.
+//! Roll-out orders from the routes interface. They have no session, and operators resend them, also
+//! to another control process, when no answer arrives.
 //!
-//! The replicated state tells an order that comes once more from another one. So an order is proposed as it is, and
-//! one that was taken before is acknowledged again, whatever became of its roll-out.
+//! The replicated state recognizes a resent order. An order is therefore proposed unchanged, and
+//! one that was accepted before is acknowledged again, whatever the state of its roll-out.
 
 use std::time::Duration;
 
@@ -20,56 +20,56 @@
 use crate::replication::ReadError;
 use crate::wall_clock::wall_time;
 
-/// Time that an order or a read has; then its outcome is unknown.
-const ORDER_LIMIT: Duration = Duration::from_secs(5);
-/// Beginning of the names of the sessions of orders.
+/// Time limit for an order or a read; after it the outcome is unknown.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Prefix of the session names of roll-out orders.
 const SESSION_PREFIX: &str = "rollout-order";
 
 quick_error! {
     /// Why an order was not acknowledged.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RolloutOrderError {
-        /// Nobody knows a service of this name.
+        /// No route and no leaf names the service.
         UnknownService(service: ServiceName) {
             display("service {service} is not known to the routes or to the list of leaves: see SHOW ROUTES and SHOW DIRECTORY")
         }
-        /// No service is known at all, as right after a start.
+        /// No service is known at all, for example right after a start.
         NoServiceYet(service: ServiceName) {
             display("no service is known yet, {service} neither: order again once there are routes")
         }
-        /// All leaves of the service run the version already.
-        RunsAlready(service: ServiceName, target: SoftwareVersion) {
+        /// All leaves of the service already run the target version.
+        AlreadyRunning(service: ServiceName, target: SoftwareVersion) {
             display("all leaves of service {service} run version {target} already: there is nothing to roll out")
         }
-        /// Another roll-out of the service is under way.
+        /// Another roll-out of the service is in progress.
         UnderWay(reason: String) {
             display("{reason}")
         }
-        /// The order makes no sense.
+        /// The catalog refuses the order.
         Refused(refusal: ChangeRefusal) {
             display("{refusal}")
         }
-        /// It is not known whether the order was accepted.
+        /// It is unknown whether the order was accepted.
         Unknown {
             display("the outcome is unknown: send the order again")
         }
     }
 }
 
-/// What is known here of a service that is to be rolled out.
+/// What this process knows about the service of a roll-out order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceView {
-    /// Whether a route or a leaf names it.
+    /// Whether a route or a leaf names the service.
     pub named: bool,
     /// Whether a route or a leaf names any service.
     pub names_any: bool,
-    /// Whether it has leaves, and all of them run the version.
-    pub runs_already: bool,
-    /// Whether the order was taken before.
-    pub taken: bool,
+    /// Whether the service has leaves and all of them run the target version.
+    pub already_running: bool,
+    /// Whether the same order was accepted before.
+    pub accepted_before: bool,
 }
 
-/// An order that is taken now.
+/// Creates an order with the current wall-clock time.
 pub fn order(
     service: ServiceName,
     target: SoftwareVersion,
@@ -80,10 +80,10 @@
     RolloutOrder { service, target, duration_ms, limit, ordered_at_ms: wall_time().0 }
 }
 
-/// Refuses what only a look at routes and leaves can tell from a slip of the pen.
+/// Checks an order against routes and leaves, to catch a mistyped service or a redundant version.
 ///
 /// # Errors
-/// A [`RolloutOrderError`].
+/// A [`RolloutOrderError`] if the service is unknown or already runs the target version.
 pub async fn check(
     order: &RolloutOrder,
     cluster: &Tx<ClusterMessage>,
@@ -94,22 +94,22 @@
     let view = receiver.await.map_err(|_| RolloutOrderError::Unknown)?;
     let service = order.service.clone();
     match view {
-        ServiceView { taken: true, .. } => Ok(()),
+        ServiceView { accepted_before: true, .. } => Ok(()),
         ServiceView { named: false, names_any: false, .. } => {
             Err(RolloutOrderError::NoServiceYet(service))
         }
         ServiceView { named: false, .. } => Err(RolloutOrderError::UnknownService(service)),
-        ServiceView { runs_already: true, .. } => {
-            Err(RolloutOrderError::RunsAlready(service, order.target.clone()))
+        ServiceView { already_running: true, .. } => {
+            Err(RolloutOrderError::AlreadyRunning(service, order.target.clone()))
         }
         ServiceView { .. } => Ok(()),
     }
 }
 
-/// Carries an order out; it is durable once this gives no error.
+/// Checks and proposes an order; after `Ok` it is durable.
 ///
 /// # Errors
-/// A [`RolloutOrderError`].
+/// A [`RolloutOrderError`] if the order is refused or its outcome is unknown.
 pub async fn carry_out(
     order: &RolloutOrder,
     cluster: &Tx<ClusterMessage>,
@@ -117,7 +117,7 @@
     check(order, cluster).await?;
     let change = Change::BeginRollout(order.clone());
     let proposed = propose(change, None, SESSION_PREFIX, cluster);
-    match timeout(ORDER_LIMIT, proposed).await {
+    match timeout(ORDER_TIMEOUT, proposed).await {
         Ok(Ok(ChangeOutcome::Accepted { .. })) => Ok(()),
         Ok(Ok(ChangeOutcome::Refused(refusal))) => Err(match refusal {
             ChangeRefusal::Catalog(CatalogError::Rollout(error @ RolloutError::UnderWay(..))) => {
@@ -132,7 +132,7 @@
 /// The newest roll-out of a service, confirmed by a quorum.
 ///
 /// # Errors
-/// A [`ReadError`] where none confirmed it in time.
+/// A [`ReadError`] if no quorum confirmed it in time.
 pub async fn read(
     service: ServiceName,
     cluster: &Tx<ClusterMessage>,
@@ -140,7 +140,7 @@
     let (reply, receiver) = oneshot::channel();
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::ReadRollout { service, reply });
-    match timeout(ORDER_LIMIT, receiver).await {
+    match timeout(ORDER_TIMEOUT, receiver).await {
         Ok(Ok(outcome)) => outcome,
         _ => Err(ReadError::NoQuorum),
     }
--- a/crates/control/src/zone_orders.rs
+++ b/crates/control/src/zone_orders.rs
@@ -1,10 +1,10 @@
-//! Orders that evacuate a zone or restore it, as operators of routes give them: without a session, and
-//! sent again, also to another process, when no answer came.
+//! Orders from the routes interface that evacuate or restore a zone. They have no session, and
+//! operators resend them, also to another control process, when no answer arrives.
 //!
-//! An order that was held up on its way must not undo a later one. So it names the revision that this
-//! process held when it came, and is carried out only if no other order of the zone was accepted
-//! since. While it is young its sender still waits for it here, and it is made anew against the
-//! newest revision; later only its outcome is told.
+//! A delayed order must not undo a later one. It is therefore based on the revision that this
+//! process held when it arrived, and accepted only if no other order of the zone was accepted
+//! since. As long as its sender is sure to wait here, a conflicting order is retried against the
+//! newest revision; after that it fails as superseded.
 
 use std::time::{Duration, Instant};
 
@@ -20,12 +20,12 @@
 use crate::cluster_task::{ClusterMessage, ZoneView};
 use crate::places::KnownPlaces;
 
-/// Time for which the sender of an order is sure to wait for it here; the users' operators turn to
-/// another process after a second.
-const YOUNG: Duration = Duration::from_millis(800);
-/// Time that an order has; then its outcome is unknown.
-const ORDER_LIMIT: Duration = Duration::from_secs(5);
-/// Beginning of the names of the sessions of orders.
+/// Time for which the sender of an order is sure to wait for its answer. Operators' tools turn to
+/// another control process after 1 s.
+const RETRY_WINDOW: Duration = Duration::from_millis(800);
+/// Time limit for an order; after it the outcome is unknown.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Prefix of the session names of zone orders.
 const SESSION_PREFIX: &str = "zone-order";
 
 quick_error! {
@@ -36,7 +36,7 @@
         UnknownZone(zone: ZoneName) {
             display("zone {zone} is not known: list zones with SHOW ZONES")
         }
-        /// No zone is known at all, as right after a start.
+        /// No zone is known at all, for example right after a start.
         NoZoneYet(zone: ZoneName) {
             display("no zone is known yet, {zone} neither: list zones with SHOW ZONES, and order again once there are some")
         }
@@ -44,23 +44,23 @@
         Refused(refusal: ChangeRefusal) {
             display("{refusal}")
         }
-        /// An order that came later was accepted first; this one changed nothing.
-        Overtaken(zone: ZoneName) {
+        /// A later order of the zone was accepted first; this one changed nothing.
+        Superseded(zone: ZoneName) {
             display("a later order of zone {zone} was accepted first: look at it, then order again")
         }
-        /// It is not known whether the order was accepted.
+        /// It is unknown whether the order was accepted.
         Unknown {
             display("the outcome is unknown: send the order again")
         }
     }
 }
 
-/// What an operator wants of a zone.
+/// An order to evacuate or to restore a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneOrder {
     /// The zone.
     pub zone: ZoneName,
-    /// Whether its leaves are to get no new work.
+    /// True to stop new requests to the leaves of the zone, false to restore it.
     pub evacuate: bool,
 }
 
@@ -73,12 +73,11 @@
     }
 }
 
-/// Checks that a zone which is to be evacuated is known to the settings or to the replicated state.
+/// Checks that the settings or the replicated state know the zone of an evacuation.
 ///
 /// # Errors
-/// [`ZoneOrderError::UnknownZone`], or [`ZoneOrderError::NoZoneYet`] where there is nothing yet by which to
-/// tell a zone from a slip of the pen: a process that has just started would else refuse a proper order
-/// for good.
+/// [`ZoneOrderError::UnknownZone`], or [`ZoneOrderError::NoZoneYet`] if no zone is known at all: a
+/// process that has just started must not refuse a valid order as final.
 pub async fn check_zone(
     zone: &ZoneName,
     places: &KnownPlaces,
@@ -87,7 +86,7 @@
     if places.has_zone(zone) {
         return Ok(());
     }
-    let view = view(zone, cluster).await?;
+    let view = read_zone(zone, cluster).await?;
     match view.named {
         true => Ok(()),
         false if places.is_empty() && !view.names_any => {
@@ -97,15 +96,15 @@
     }
 }
 
-/// Carries an order out; it is durable once this gives no error.
+/// Proposes an order until it is settled; after `Ok` it is durable.
 ///
 /// # Errors
-/// A [`ZoneOrderError`]; only an unknown zone and a refusal are final.
+/// A [`ZoneOrderError`]; only an unknown zone and a refusal are final, others may be retried.
 pub async fn carry_out(
     order: &ZoneOrder,
     cluster: &Tx<ClusterMessage>,
 ) -> Result<(), ZoneOrderError> {
-    match timeout(ORDER_LIMIT, propose_until_settled(order, cluster)).await {
+    match timeout(ORDER_TIMEOUT, propose_until_settled(order, cluster)).await {
         Ok(outcome) => outcome,
         Err(_) => Err(ZoneOrderError::Unknown),
     }
@@ -115,21 +114,21 @@
     order: &ZoneOrder,
     cluster: &Tx<ClusterMessage>,
 ) -> Result<(), ZoneOrderError> {
-    let came = Instant::now();
+    let received_at = Instant::now();
     loop {
-        let based_on = view(&order.zone, cluster).await?.revision;
+        let based_on = read_zone(&order.zone, cluster).await?.revision;
         let refusal = match propose_at(order, based_on, cluster).await? {
             ChangeOutcome::Accepted { .. } => return Ok(()),
             ChangeOutcome::Refused(refusal) => refusal,
         };
-        if !is_about_revisions(&refusal) {
+        if !is_revision_conflict(&refusal) {
             return Err(ZoneOrderError::Refused(refusal));
         }
-        if view(&order.zone, cluster).await?.evacuated == order.evacuate {
+        if read_zone(&order.zone, cluster).await?.evacuated == order.evacuate {
             return Ok(());
         }
-        if came.elapsed() >= YOUNG {
-            return Err(ZoneOrderError::Overtaken(order.zone.clone()));
+        if received_at.elapsed() >= RETRY_WINDOW {
+            return Err(ZoneOrderError::Superseded(order.zone.clone()));
         }
     }
 }
@@ -144,8 +143,8 @@
     proposed.map_err(|OutcomeUnknown| ZoneOrderError::Unknown)
 }
 
-/// Whether another change came between, or the revision can't be compared with.
-fn is_about_revisions(refusal: &ChangeRefusal) -> bool {
+/// Whether an order failed only because of the revision that it was based on.
+fn is_revision_conflict(refusal: &ChangeRefusal) -> bool {
     matches!(
         refusal,
         ChangeRefusal::Conflict(..)
@@ -154,7 +153,10 @@
     )
 }
 
-async fn view(zone: &ZoneName, cluster: &Tx<ClusterMessage>) -> Result<ZoneView, ZoneOrderError> {
+async fn read_zone(
+    zone: &ZoneName,
+    cluster: &Tx<ClusterMessage>,
+) -> Result<ZoneView, ZoneOrderError> {
     let (reply, receiver) = oneshot::channel();
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::ReadZone { zone: zone.clone(), reply });
