--- a/crates/control/src/cluster_task/crashes.rs
+++ b/crates/control/src/cluster_task/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash leaves: what brokers find goes to the log, and from there to all brokers.
+//! Requests that crash leaves: brokers' findings are replicated through the log to all brokers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,80 +10,87 @@
 use gingerkeel_protocol::unpack_document;
 use tracing::{debug, warn};
 
-use super::proposal_rounds::ProposalRounds;
+use super::proposal_retry::ProposalRetry;
 use super::{ClusterTask, ConnectionId};
 
-/// Time for which a finding that the log did not take is proposed again.
-const PROPOSAL_LIFE: Duration = Duration::from_secs(60);
-/// Findings that wait for the log.
-const UNRECORDED_LIMIT: usize = 512;
+/// Time for which a finding that was not committed is proposed again.
+const PROPOSAL_LIFETIME: Duration = Duration::from_secs(60);
+/// Maximum number of findings that wait to be committed.
+const PENDING_LIMIT: usize = 512;
 
-/// What brokers that are fed here found and the log does not have yet.
+/// Findings of brokers subscribed here that are not committed yet.
 #[derive(Default)]
-pub struct UnrecordedCrashes {
-    waiting: BTreeMap<RequestDigest, Unrecorded>,
+pub struct PendingCrashFindings {
+    pending: BTreeMap<RequestDigest, PendingFinding>,
 }
 
-/// A finding that waits for the log.
-struct Unrecorded {
+/// A finding that waits to be committed.
+struct PendingFinding {
     since: Timestamp,
     finding: CrashFinding,
-    rounds: ProposalRounds,
+    retry: ProposalRetry,
 }
 
-impl UnrecordedCrashes {
+impl PendingCrashFindings {
     fn add(&mut self, now: Timestamp, finding: CrashFinding) {
-        if self.waiting.len() < UNRECORDED_LIMIT {
-            let rounds = ProposalRounds::default();
-            self.waiting.insert(finding.digest, Unrecorded { since: now, finding, rounds });
+        if self.pending.len() < PENDING_LIMIT {
+            let retry = ProposalRetry::default();
+            self.pending.insert(finding.digest, PendingFinding { since: now, finding, retry });
         }
     }
 
-    /// What is to be proposed again after one more round.
-    fn round(&mut self, now: Timestamp) -> Vec<CrashFinding> {
-        self.waiting.retain(|_, waiting| now.since(waiting.since) < PROPOSAL_LIFE);
-        let due = self.waiting.values_mut().filter_map(|waiting| {
-            let is_due = waiting.rounds.pass();
-            is_due.then(|| waiting.finding.clone())
+    /// Advances by one report tick and returns the findings to propose again.
+    fn tick(&mut self, now: Timestamp) -> Vec<CrashFinding> {
+        self.pending.retain(|_, pending| now.since(pending.since) < PROPOSAL_LIFETIME);
+        let due = self.pending.values_mut().filter_map(|pending| {
+            let is_due = pending.retry.tick();
+            is_due.then(|| pending.finding.clone())
         });
         due.collect()
     }
 }
 
 impl ClusterTask {
-    /// A broker found requests under which leaves have ended. The brokers that feed here are told at once, all others once
-    /// the log has it.
-    pub(super) fn found_crashes(&mut self, connection: ConnectionId, findings: Vec<CrashFinding>) {
+    /// Handles a broker's findings of requests during which leaves crashed. Brokers subscribed here
+    /// are notified at once, all others once the findings are committed.
+    pub(super) fn report_crashes(&mut self, connection: ConnectionId, findings: Vec<CrashFinding>) {
         let now = self.clock.now();
-        self.subscribers.tell_findings(now, Some(connection), findings.clone());
+        self.subscribers.publish_findings(now, Some(connection), findings.clone());
         let lasting = findings.iter().filter(|finding| finding.verdict != Verdict::Suspected);
-        lasting.for_each(|finding| self.unrecorded_crashes.add(now, finding.clone()));
+        lasting.for_each(|finding| self.pending_crashes.add(now, finding.clone()));
         self.propose_crashes(findings);
     }
 
-    /// Proposes what a leader did not take.
+    /// Proposes findings again that are not committed yet.
     pub(super) fn propose_crashes_again(&mut self) {
-        let due = self.unrecorded_crashes.round(self.clock.now());
+        let due = self.pending_crashes.tick(self.clock.now());
         self.propose_crashes(due);
     }
 
     fn propose_crashes(&self, findings: Vec<CrashFinding>) {
         if !findings.is_empty() {
-            self.propose_unanswered(CommandBody::ReportCrashes(findings));
+            self.propose_in_background(CommandBody::ReportCrashes(findings));
         }
     }
 
-    /// A broker asks whether it may try a refused request at one leaf. Without an answer it refuses the request.
-    pub(super) fn asked_trial(&self, connection: ConnectionId, ticket: u64, finding: CrashFinding) {
-        if let Some(follower) = self.subscribers.follower(connection) {
-            let broker = follower.identity.broker.clone();
-            self.propose_unanswered(CommandBody::GrantTrial { broker, ticket, finding });
+    /// Proposes a broker's request to try a refused request at one leaf. Without an answer the
+    /// broker refuses the request.
+    pub(super) fn request_trial(
+        &self,
+        connection: ConnectionId,
+        ticket: u64,
+        finding: CrashFinding,
+    ) {
+        if let Some(subscriber) = self.subscribers.get(connection) {
+            let broker = subscriber.identity.broker.clone();
+            self.propose_in_background(CommandBody::GrantTrial { broker, ticket, finding });
         }
     }
 
-    /// A process that has just started may have a proof in its log of which it learns only from a leader whether it was
-    /// accepted. Brokers that subscribe before there is one are told as of a hint, lest they send the request again.
-    pub(super) fn hint_at_crashes(&mut self, command: &[u8]) {
+    /// Publishes refusals from recovered commands that are not known to be committed. Only a leader
+    /// can tell whether they are; until there is one, subscribing brokers get them as hints, so
+    /// that they do not send the crashing request again.
+    pub(super) fn publish_unconfirmed_crashes(&mut self, command: &[u8]) {
         let Ok(Command { body: CommandBody::ReportCrashes(findings), .. }) =
             unpack_document(command)
         else {
@@ -91,10 +98,10 @@
         };
         let refused = |finding: &CrashFinding| finding.verdict == Verdict::Refused;
         let proofs = findings.into_iter().filter(refused).collect();
-        self.subscribers.tell_findings(self.clock.now(), None, proofs);
+        self.subscribers.publish_findings(self.clock.now(), None, proofs);
     }
 
-    fn propose_unanswered(&self, command: CommandBody) {
+    fn propose_in_background(&self, command: CommandBody) {
         let replication = self.replication.clone();
         monoio::spawn(async move {
             if let Err(error) = replication.propose(command).await {
@@ -103,35 +110,35 @@
         });
     }
 
-    /// The replicated state has these findings.
+    /// Handles findings that were committed and applied.
     pub(super) fn crashes_recorded(&mut self, findings: &[CrashFinding]) {
         let (suspected, lasting): (Vec<CrashFinding>, Vec<CrashFinding>) =
             findings.iter().cloned().partition(|finding| finding.verdict == Verdict::Suspected);
-        self.subscribers.tell_findings(self.clock.now(), None, suspected);
+        self.subscribers.publish_findings(self.clock.now(), None, suspected);
         for finding in &lasting {
-            self.unrecorded_crashes.waiting.remove(&finding.digest);
+            self.pending_crashes.pending.remove(&finding.digest);
             self.log_verdict(finding);
         }
-        self.tell_verdicts(lasting);
+        self.publish_verdicts(lasting);
     }
 
-    /// An operator's change may release a request.
+    /// Publishes the release of a refused request, if an operator's change contains one.
     pub(super) fn request_released(&mut self, change: &Change) {
         if let Change::ReleaseRequest(digest) = change {
             let cleared = cleared(*digest);
             self.log_verdict(&cleared);
-            self.tell_verdicts(vec![cleared]);
+            self.publish_verdicts(vec![cleared]);
         }
     }
 
-    /// Tells brokers what the replicated state has of these requests now.
-    pub(super) fn tell_verdicts(&mut self, findings: Vec<CrashFinding>) {
+    /// Publishes the replicated verdicts on these requests.
+    pub(super) fn publish_verdicts(&mut self, findings: Vec<CrashFinding>) {
         let refused = self.state.refused_requests();
         let current = findings.into_iter().map(|finding| {
             let held = refused.finding(self.state.now(), finding.digest);
             held.unwrap_or(CrashFinding { verdict: Verdict::Cleared, ..finding })
         });
-        self.subscribers.tell_refused_requests(&current.collect::<Vec<_>>());
+        self.subscribers.publish_refused_requests(&current.collect::<Vec<_>>());
     }
 
     fn log_verdict(&self, finding: &CrashFinding) {
@@ -147,7 +154,7 @@
     }
 }
 
-/// What brokers are told of a request that an operator released.
+/// The finding that is sent for a request that an operator released.
 fn cleared(digest: RequestDigest) -> CrashFinding {
     CrashFinding { digest, route: String::new(), leaves: 0, verdict: Verdict::Cleared, for_ms: 0 }
 }
--- a/crates/control/src/cluster_task/listed_leaves.rs
+++ b/crates/control/src/cluster_task/listed_leaves.rs
@@ -1,4 +1,4 @@
-//! The outside list of leaves as this process reads it while it leads.
+//! The external list of leaves, as the leader reads it.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 use gingerkeel_domain::time::Timestamp;
 use tracing::{info, warn};
 
-/// What the last readings of the list leave to be known.
+/// State kept between readings of the list.
 #[derive(Debug, Default)]
 pub(super) struct ListedLeaves {
     held: HeldLeaves,
-    /// How many entries the last reading left out, by fault.
+    /// Number of entries that the last reading left out, by fault.
     faults: BTreeMap<EntryFault, usize>,
 }
 
 impl ListedLeaves {
-    /// The leaves that are listed, by a reading and by what is known. Tells when entries are left out, once until other
-    /// numbers of them are.
+    /// Merges a reading with the known directory into the list of leaves. Logs the number of
+    /// entries that were left out whenever it changes.
     pub(super) fn read(
         &mut self,
         now: Timestamp,
@@ -32,13 +32,13 @@
         let listed = self.held.listed(now, known, reading);
         if faults != self.faults {
             self.faults = faults;
-            self.tell(usable, named.as_ref());
+            self.log_left_out(usable, named.as_ref());
         }
         listed
     }
 
-    /// Tells how many entries are left out, and of a leaf that one of them names.
-    fn tell(&self, leaves: usize, named: Option<&LeafIdentity>) {
+    /// Logs how many entries are left out, with the name of one affected leaf.
+    fn log_left_out(&self, leaves: usize, named: Option<&LeafIdentity>) {
         if self.faults.is_empty() {
             info!(event = "directory_entries_usable", leaves);
             return;
--- a/crates/control/src/cluster_task/message.rs
+++ b/crates/control/src/cluster_task/message.rs
@@ -20,8 +20,8 @@
 use local_sync::mpsc::unbounded::Tx;
 use local_sync::oneshot;
 
+use super::pending_routes::RoutesReply;
 use super::reads::{LeaseTicket, PendingRead};
-use super::waiting_routes::RoutesReply;
 use crate::replication::{ProposeError, ReadError, StateMachineMessage};
 use crate::rollout_orders::ServiceView;
 
@@ -29,21 +29,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// Who subscribed.
+/// Identity of a subscribed broker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubscriberIdentity {
-    /// The broker.
+    /// Name of the broker.
     pub broker: BrokerName,
-    /// Number of its run.
+    /// Number of the broker's run.
     pub run: u64,
-    /// Where it runs.
+    /// Region and zone of the broker.
     pub placement: Placement,
 }
 
-/// What this process knows of a zone.
+/// What this process knows about a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneView {
-    /// The revision of the catalog that says so.
+    /// Revision of the catalog that this view reflects.
     pub revision: Revision,
     /// Whether the zone is evacuated.
     pub evacuated: bool,
@@ -53,7 +53,7 @@
     pub names_any: bool,
 }
 
-/// What happened on a broker's connection.
+/// An event on a broker's connection.
 pub enum FeedEvent {
     /// The broker opened its feed.
     Subscribed {
@@ -61,18 +61,18 @@
         connection: ConnectionId,
         /// The broker.
         subscriber: SubscriberIdentity,
-        /// The revision that it holds.
+        /// The revision that the broker holds.
         revision: Revision,
-        /// Where its messages go.
+        /// Sends messages to the broker.
         feed: Tx<FeedMessage>,
     },
-    /// The broker asked for a lease.
-    Renewed {
+    /// The broker requested a lease.
+    LeaseRequested {
         /// The connection.
         connection: ConnectionId,
-        /// Number of the renewal.
+        /// Number of the request within the connection.
         ticket: u64,
-        /// The revision that it has in force.
+        /// The revision that the broker has in force.
         in_force: Revision,
     },
     /// The broker put a revision in force.
@@ -83,161 +83,162 @@
         revision: Revision,
     },
     /// The broker reported charges.
-    Charged {
+    ChargesReported {
         /// The connection.
         connection: ConnectionId,
-        /// The run that counted.
+        /// The run of the broker that counted the charges.
         run: u64,
-        /// Number of the report.
+        /// Sequence number of the report.
         sequence: u64,
-        /// The counters.
+        /// The counters by key.
         counters: BTreeMap<ChargeKey, ChargeCounter>,
     },
     /// The broker reported load and refusals.
-    Overloaded {
+    OverloadReported {
         /// The connection.
         connection: ConnectionId,
         /// The report.
         report: OverloadReport,
     },
-    /// The broker saw leaves that were slow.
-    SawSlowLeaves {
+    /// The broker observed slow, failing or refusing leaves.
+    SlowLeavesReported {
         /// The connection.
         connection: ConnectionId,
-        /// What it saw.
+        /// The observations by leaf.
         observations: Vec<LeafObservation>,
     },
-    /// The broker found requests under which leaves have ended.
-    FoundCrashes {
+    /// The broker found requests during which leaves crashed.
+    CrashesReported {
         /// The connection.
         connection: ConnectionId,
-        /// What it found.
+        /// The findings by request.
         findings: Vec<CrashFinding>,
     },
-    /// The broker asks for a trial of a request that is refused.
-    AskedTrial {
+    /// The broker asks to try a refused request at one leaf.
+    TrialRequested {
         /// The connection.
         connection: ConnectionId,
-        /// Number of the question.
+        /// Number of the request for the trial.
         ticket: u64,
-        /// What it holds of the request.
+        /// The finding that refuses the request.
         finding: CrashFinding,
     },
-    /// The broker reported what tenants used of their quotas.
-    UsedQuotas {
+    /// The broker reported tenants' usage of their quotas.
+    UsageReported {
         /// The connection.
         connection: ConnectionId,
         /// The report.
         report: UsageReport,
     },
-    /// A broker reported what came to light of roll-outs.
-    ObservedRollouts {
-        /// What it reported.
+    /// A broker reported evidence on roll-outs.
+    RolloutsReported {
+        /// The evidence by roll-out.
         reports: Vec<RolloutReport>,
     },
-    /// The connection is lost.
+    /// The connection ended.
     Closed {
         /// The connection.
         connection: ConnectionId,
-        /// Whether the broker closed it, which says that it has ended or turned elsewhere.
+        /// Whether the broker closed the connection: it has stopped or moved to another control
+        /// process.
         closed_by_broker: bool,
     },
 }
 
 /// A message to the cluster task.
 pub enum ClusterMessage {
-    /// A request of the log.
+    /// A message from the replicated log.
     Log(StateMachineMessage),
     /// Propose an operator's change.
     Change {
         /// The change.
         request: ChangeRequest,
-        /// Where its outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<Result<ChangeOutcome, ProposeError>>,
     },
-    /// A change was perhaps not proposed.
+    /// The proposal of a change failed; the change may still be committed.
     ChangeNotProposed {
         /// The change.
         request: ChangeRequest,
-        /// Why.
+        /// The error of the proposal.
         error: ProposeError,
     },
-    /// Look something up.
-    Look {
-        /// What.
+    /// Show a table to an operator.
+    Show {
+        /// The table to show.
         subject: Subject,
-        /// Where the table goes.
+        /// Receives the table.
         reply: oneshot::Sender<Result<StatementReply, ReadError>>,
     },
-    /// Replace the configuration of routes.
+    /// Replace the route configuration.
     ReplaceRoutes {
         /// The newer configuration.
         routes: Arc<AcceptedRoutes>,
-        /// Told once one of its version or a higher one is accepted.
+        /// Answered once this version or a higher one is accepted.
         reply: RoutesReply,
     },
-    /// A replacement was perhaps not proposed.
+    /// The proposal of a replacement failed; it may still be committed.
     RoutesNotProposed {
         /// The configuration.
         routes: Arc<AcceptedRoutes>,
-        /// Why.
+        /// The error of the proposal.
         error: ProposeError,
     },
-    /// A look at what is known here of a zone.
+    /// Read what this process knows about a zone, without a quorum.
     ReadZone {
         /// The zone.
         zone: ZoneName,
-        /// Where it goes.
+        /// Receives the view.
         reply: oneshot::Sender<ZoneView>,
     },
-    /// A look at what is known here of a service that is to be rolled out.
+    /// Read what this process knows about the service of a roll-out order, without a quorum.
     ReadService {
         /// The order.
         order: RolloutOrder,
-        /// Where it goes.
+        /// Receives the view.
         reply: oneshot::Sender<ServiceView>,
     },
-    /// Read the newest roll-out of a service.
+    /// Read the newest roll-out of a service, confirmed by a quorum.
     ReadRollout {
-        /// The service.
+        /// The service that is rolled out.
         service: ServiceName,
-        /// Where it goes.
+        /// Receives the roll-out; none if the service had none.
         reply: oneshot::Sender<Result<Option<Rollout>, ReadError>>,
     },
-    /// Read the configuration of routes.
+    /// Read the route configuration, confirmed by a quorum.
     ReadRoutes {
-        /// Where it goes.
+        /// Receives the configuration; none if none was accepted yet.
         reply: oneshot::Sender<Result<Option<Arc<AcceptedRoutes>>, ReadError>>,
     },
-    /// The whole list of leaves was read.
+    /// The external list of leaves was read.
     DirectoryRead(DirectoryReading),
-    /// A quorum confirmed reads, or not.
+    /// A quorum confirmed reads, or failed to.
     ReadConfirmed {
-        /// The reads.
+        /// The reads that were to be confirmed.
         reads: Vec<PendingRead>,
-        /// The index that they need.
+        /// The index that must be applied before they are served.
         outcome: Result<LogIndex, ReadError>,
     },
-    /// A quorum confirmed a batch of leases, or not.
+    /// A quorum confirmed a batch of leases, or failed to.
     LeasesConfirmed {
-        /// The batch.
+        /// The requests of the batch.
         tickets: Vec<LeaseTicket>,
-        /// The index that they need.
+        /// The index that must be applied before they are granted.
         outcome: Result<LogIndex, ReadError>,
     },
-    /// Something happened on a broker's connection.
+    /// An event on a broker's connection.
     Feed(FeedEvent),
     /// A leaf was polled.
     LeafPolled {
         /// The leaf.
         leaf: LeafId,
-        /// What it said.
+        /// The health that it reported.
         health: LeafHealth,
     },
-    /// The reports of the last round are taken, or given up.
-    ReportsTaken,
-    /// Time for a round of reports and deltas.
-    Round,
-    /// Time for a round of the use of quotas.
-    UsageRound,
+    /// The reports of the last tick were proposed, or the proposal failed.
+    ReportsProposed,
+    /// Time to propose reports and to publish changes of the members.
+    ReportTick,
+    /// Time to publish quota usage and leaf warnings.
+    UsageTick,
 }
--- a/crates/control/src/cluster_task/mod.rs
+++ b/crates/control/src/cluster_task/mod.rs
@@ -1,19 +1,19 @@
-//! The task that owns the replicated state of this process and serves reads from it.
+//! The task that owns this process's replica of the state, applies commands and serves reads.
 
-mod copies;
 mod crashes;
 mod listed_leaves;
-mod membership;
 mod message;
-mod proposal_rounds;
+mod pending_changes;
+mod pending_routes;
+mod proposal_retry;
 mod reads;
 mod rollouts;
 mod routes;
+mod snapshot_cache;
 mod state_document;
+mod state_reporter;
 mod subscribers;
 mod usage;
-mod waiting;
-mod waiting_routes;
 
 use std::time::Duration;
 
@@ -34,85 +34,87 @@
 use crate::rollout_orders::ServiceView;
 use crate::tables;
 
-use crashes::UnrecordedCrashes;
+use crashes::PendingCrashFindings;
 use listed_leaves::ListedLeaves;
-use membership::Membership;
-pub use membership::OwnIdentity;
 pub use message::{ClusterMessage, ConnectionId, FeedEvent, SubscriberIdentity, ZoneView};
+use pending_changes::{ChangeReply, PendingChanges};
+use pending_routes::PendingRoutes;
 use reads::{PendingRead, Reads};
-use rollouts::RolloutWatch;
+use rollouts::RolloutTracker;
 use state_document::{decode_state, encode_state};
+pub use state_reporter::OwnIdentity;
+use state_reporter::StateReporter;
 use subscribers::Subscribers;
-use usage::QuotaUse;
-use waiting::{ChangeReply, WaitingChanges};
-use waiting_routes::WaitingReplacements;
+use usage::QuotaUsage;
 
-/// Time between two rounds of reports and deltas.
-const ROUND_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between report ticks.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Messages that are handled before brokers are told what changed.
+/// Maximum number of messages that are handled before changes are published to brokers.
 const MESSAGE_BATCH: usize = 256;
 
-/// Other tasks of the process that are told what they have to do.
-pub struct Outlets {
-    /// The leaves to poll.
+/// Senders to other tasks of the process.
+pub struct TaskSenders {
+    /// Receives the plan of leaves to poll.
     pub polling: Tx<PollPlan>,
-    /// That the outside list of leaves is to be read.
+    /// Requests an immediate reading of the external directory.
     pub read_directory: Tx<ReadAtOnce>,
 }
 
-/// The state of the task.
+/// State of the cluster task.
 pub struct ClusterTask {
     state: ClusterState,
     replication: ReplicationClient,
     own_messages: Tx<ClusterMessage>,
-    waiting_changes: WaitingChanges,
-    waiting_routes: WaitingReplacements,
+    pending_changes: PendingChanges,
+    pending_routes: PendingRoutes,
     reads: Reads,
     subscribers: Subscribers,
-    quota_use: QuotaUse,
-    rollouts: RolloutWatch,
-    unrecorded_crashes: UnrecordedCrashes,
-    membership: Membership,
+    quota_usage: QuotaUsage,
+    rollouts: RolloutTracker,
+    pending_crashes: PendingCrashFindings,
+    state_reporter: StateReporter,
     listed_leaves: ListedLeaves,
     clock: Clock,
-    outlets: Outlets,
-    /// Whether something was applied that brokers were not told of.
+    senders: TaskSenders,
+    /// Whether applied commands are not yet published to brokers.
     changed: bool,
 }
 
-/// Starts the task on a channel that its users have already.
+/// Starts the cluster task, which receives `messages`; `own_messages` is the sender of that
+/// channel.
 pub fn start(
     identity: OwnIdentity,
     replication: ReplicationClient,
-    outlets: Outlets,
+    senders: TaskSenders,
     own_messages: Tx<ClusterMessage>,
     messages: Rx<ClusterMessage>,
 ) {
-    monoio::spawn(send_rounds(own_messages.clone()));
-    monoio::spawn(usage::send_rounds(own_messages.clone()));
-    let quota_use = QuotaUse::new(identity.name.clone(), identity.run);
+    monoio::spawn(send_ticks(own_messages.clone()));
+    monoio::spawn(usage::send_ticks(own_messages.clone()));
+    let quota_usage = QuotaUsage::new(identity.name.clone(), identity.run);
     let task = ClusterTask {
         state: ClusterState::default(),
         replication,
         own_messages,
-        waiting_changes: WaitingChanges::default(),
-        waiting_routes: WaitingReplacements::default(),
+        pending_changes: PendingChanges::default(),
+        pending_routes: PendingRoutes::default(),
         reads: Reads::default(),
         subscribers: Subscribers::default(),
-        quota_use,
-        rollouts: RolloutWatch::default(),
-        unrecorded_crashes: UnrecordedCrashes::default(),
-        membership: Membership::new(identity),
+        quota_usage,
+        rollouts: RolloutTracker::default(),
+        pending_crashes: PendingCrashFindings::default(),
+        state_reporter: StateReporter::new(identity),
         listed_leaves: ListedLeaves::default(),
         clock: Clock::start(),
-        outlets,
+        senders,
         changed: false,
     };
     monoio::spawn(task.run(messages));
 }
 
-/// Starts a task that hands the log's requests to the cluster task, and gives the way to it.
+/// Starts a task that forwards messages of the replicated log to the cluster task, and returns its
+/// sender.
 pub fn state_machine(cluster: Tx<ClusterMessage>) -> Tx<StateMachineMessage> {
     let (sender, mut receiver) = unbounded::channel();
     monoio::spawn(async move {
@@ -125,9 +127,9 @@
     sender
 }
 
-async fn send_rounds(messages: Tx<ClusterMessage>) {
-    while messages.send(ClusterMessage::Round).is_ok() {
-        monoio::time::sleep(ROUND_INTERVAL).await;
+async fn send_ticks(messages: Tx<ClusterMessage>) {
+    while messages.send(ClusterMessage::ReportTick).is_ok() {
+        monoio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
@@ -145,11 +147,11 @@
         }
     }
 
-    /// Tells brokers what changed, once for all messages of a batch, and then answers the reads
-    /// that waited for it: a lease counts for what was sent before it.
+    /// Publishes changes to brokers, once per batch of messages, and then serves the reads that
+    /// waited for them. The order matters: a lease covers only what was sent before it.
     fn publish(&mut self) {
         if std::mem::take(&mut self.changed) {
-            self.quota_use.follow_quotas(self.clock.now(), &self.state);
+            self.quota_usage.update_quotas(self.clock.now(), &self.state);
             self.subscribers.publish(&self.state);
             self.serve_reads();
         }
@@ -160,24 +162,24 @@
             ClusterMessage::Log(message) => self.log_message(message),
             ClusterMessage::Change { request, reply } => self.propose_change(request, reply),
             ClusterMessage::ChangeNotProposed { request, error } => {
-                self.waiting_changes.answer(&request, &Err(error))
+                self.pending_changes.answer(&request, &Err(error))
             }
-            ClusterMessage::Look { subject, reply } => {
-                self.start_read(vec![PendingRead::Look { subject, reply }])
+            ClusterMessage::Show { subject, reply } => {
+                self.start_read(vec![PendingRead::Show { subject, reply }])
             }
             ClusterMessage::ReplaceRoutes { routes, reply } => self.replace_routes(routes, reply),
             ClusterMessage::RoutesNotProposed { routes, error } => {
-                self.waiting_routes.not_proposed(&routes, &error)
+                self.pending_routes.not_proposed(&routes, &error)
             }
             ClusterMessage::ReadRoutes { reply } => {
                 self.start_read(vec![PendingRead::Routes { reply }])
             }
             ClusterMessage::ReadZone { zone, reply } => {
-                // Whoever asked may have given up.
+                // The requester may have given up.
                 let _ = reply.send(self.view_zone(&zone));
             }
             ClusterMessage::ReadService { order, reply } => {
-                // Whoever asked may have given up.
+                // The requester may have given up.
                 let _ = reply.send(self.view_service(&order));
             }
             ClusterMessage::ReadRollout { service, reply } => {
@@ -197,32 +199,34 @@
             }
             ClusterMessage::Feed(event) => self.feed_event(event),
             ClusterMessage::LeafPolled { leaf, health } => {
-                self.membership.leaf_polled(leaf, health)
+                self.state_reporter.leaf_polled(leaf, health)
             }
-            ClusterMessage::ReportsTaken => self.membership.reports_taken(),
-            ClusterMessage::Round => self.round(),
-            ClusterMessage::UsageRound => self.usage_round(),
+            ClusterMessage::ReportsProposed => self.state_reporter.reports_proposed(),
+            ClusterMessage::ReportTick => self.tick(),
+            ClusterMessage::UsageTick => self.usage_tick(),
         }
     }
 
     fn log_message(&mut self, message: StateMachineMessage) {
         match message {
             StateMachineMessage::Apply { index, command } => self.apply(index, &command),
-            StateMachineMessage::Unconfirmed { command } => self.hint_at_crashes(&command),
+            StateMachineMessage::Unconfirmed { command } => {
+                self.publish_unconfirmed_crashes(&command)
+            }
             StateMachineMessage::Restore { index, snapshot } => self.restore(index, &snapshot),
             StateMachineMessage::TakeSnapshot { reply } => match encode_state(&self.state) {
                 Ok(bytes) => {
                     let snapshot = StateSnapshot { index: self.state.applied(), bytes };
-                    // The log may have changed its mind.
+                    // The replication task may have stopped.
                     let _ = reply.send(snapshot);
                 }
                 Err(error) => error!(event = "snapshot_not_encoded", %error),
             },
             StateMachineMessage::PeerWarningsReceived(warnings) => {
-                self.subscribers.peer_warned(self.clock.now(), &warnings)
+                self.subscribers.adopt_warnings(self.clock.now(), &warnings)
             }
-            StateMachineMessage::PeerUsageReceived(used) => {
-                self.quota_use.peer_used(self.clock.now(), &used)
+            StateMachineMessage::PeerUsageReceived(report) => {
+                self.quota_usage.add_peer_report(self.clock.now(), &report)
             }
         }
     }
@@ -247,7 +251,7 @@
                     info!(event = "change_accepted", revision = revision.0, command = %request.id);
                     self.request_released(&request.change);
                 }
-                self.waiting_changes.answer(request, &Ok(outcome));
+                self.pending_changes.answer(request, &Ok(outcome));
             }
             (CommandBody::ReportCharges(reports), CommandOutcome::Charges(receipts)) => {
                 self.subscribers.acknowledge_charges(reports, &receipts)
@@ -263,14 +267,14 @@
                 CommandBody::GrantTrial { broker, ticket, finding },
                 CommandOutcome::Trial { granted },
             ) => {
-                // Brokers wait for the trial after this one.
-                self.tell_verdicts(vec![finding.clone()]);
+                // All brokers learn of this trial first, so that they wait for the next one.
+                self.publish_verdicts(vec![finding.clone()]);
                 info!(event = "crash_trial", %broker, digest = %finding.digest, granted);
                 self.subscribers.answer_trial(broker, *ticket, granted);
             }
             (CommandBody::ReportDirectory(delta), _) => {
-                // Orders that came before the list go before it: a roll-out keeps requests from
-                // leaves of its version.
+                // Catalog changes that precede the delta are sent first: a roll-out must restrict
+                // requests to leaves of its version before those leaves are listed.
                 self.subscribers.publish_catalog(&self.state);
                 let version = self.state.directory().version().0;
                 info!(event = "directory_changed", version);
@@ -285,7 +289,7 @@
             Ok(state) if state.applied() >= self.state.applied() => {
                 info!(event = "snapshot_restored", index = index.0);
                 self.state = state;
-                self.waiting_routes.accepted(self.state.routes().version());
+                self.pending_routes.accepted(self.state.routes().version());
                 self.changed = true;
             }
             Ok(state) => {
@@ -296,7 +300,7 @@
     }
 
     fn propose_change(&mut self, request: ChangeRequest, reply: ChangeReply) {
-        self.waiting_changes.add(request.clone(), reply);
+        self.pending_changes.add(request.clone(), reply);
         let replication = self.replication.clone();
         let messages = self.own_messages.clone();
         monoio::spawn(async move {
@@ -354,7 +358,7 @@
         });
     }
 
-    /// One confirmed read for all leases asked for since the last one began.
+    /// Starts one quorum read for all leases requested since the last one began.
     fn confirm_leases(&mut self) {
         let Some(tickets) = self.reads.next_lease_batch() else {
             return;
@@ -371,17 +375,17 @@
     fn serve_reads(&mut self) {
         for read in self.reads.due(self.state.applied()) {
             match read {
-                PendingRead::Look { subject, reply } => {
-                    // The operator may have hung up.
-                    let use_of = |tenant: &TenantName| self.quota_use.level(tenant).cloned();
+                PendingRead::Show { subject, reply } => {
+                    // The operator may have disconnected.
+                    let use_of = |tenant: &TenantName| self.quota_usage.level(tenant).cloned();
                     let _ = reply.send(Ok(tables::show(&self.state, &use_of, &subject)));
                 }
                 PendingRead::Routes { reply } => {
-                    // The operator may have hung up.
+                    // The operator may have disconnected.
                     let _ = reply.send(Ok(self.state.routes().current().cloned()));
                 }
                 PendingRead::Rollout { service, reply } => {
-                    // As above.
+                    // The operator may have disconnected.
                     let _ = reply.send(Ok(self.state.catalog().rollouts().get(&service).cloned()));
                 }
                 PendingRead::Leases(tickets) => {
@@ -398,64 +402,64 @@
                 let state = &self.state;
                 self.subscribers.subscribe(now, state, connection, subscriber, revision, feed);
                 self.subscribers.send_current_warnings(now, connection);
-                self.subscribers.send_current_usage(now, connection, &self.quota_use);
+                self.subscribers.send_current_usage(now, connection, &self.quota_usage);
             }
-            FeedEvent::Renewed { connection, ticket, in_force } => {
+            FeedEvent::LeaseRequested { connection, ticket, in_force } => {
                 self.subscribers.in_force(connection, in_force);
-                self.reads.ask_lease(connection, ticket);
+                self.reads.request_lease(connection, ticket);
                 self.confirm_leases();
             }
             FeedEvent::InForce { connection, revision } => {
                 self.subscribers.in_force(connection, revision)
             }
-            FeedEvent::Charged { connection, run, sequence, counters } => {
+            FeedEvent::ChargesReported { connection, run, sequence, counters } => {
                 let report = self.subscribers.charge_report(connection, run, sequence, counters);
-                self.membership.charged(report);
+                self.state_reporter.add_charges(report);
             }
-            FeedEvent::Overloaded { connection, report } => {
+            FeedEvent::OverloadReported { connection, report } => {
                 let report = self.subscribers.overload_report(connection, report);
-                self.membership.overloaded(report);
+                self.state_reporter.add_overload(report);
             }
-            FeedEvent::SawSlowLeaves { connection, observations } => {
-                self.subscribers.saw_slow_leaves(self.clock.now(), connection, &observations)
+            FeedEvent::SlowLeavesReported { connection, observations } => {
+                self.subscribers.report_slow_leaves(self.clock.now(), connection, &observations)
             }
-            FeedEvent::FoundCrashes { connection, findings } => {
-                self.found_crashes(connection, findings)
+            FeedEvent::CrashesReported { connection, findings } => {
+                self.report_crashes(connection, findings)
             }
-            FeedEvent::AskedTrial { connection, ticket, finding } => {
-                self.asked_trial(connection, ticket, finding)
+            FeedEvent::TrialRequested { connection, ticket, finding } => {
+                self.request_trial(connection, ticket, finding)
             }
-            FeedEvent::UsedQuotas { connection, report } => {
-                if let Some(follower) = self.subscribers.follower(connection) {
-                    let broker = &follower.identity;
-                    self.quota_use.broker_used(self.clock.now(), broker, &report);
+            FeedEvent::UsageReported { connection, report } => {
+                if let Some(subscriber) = self.subscribers.get(connection) {
+                    let broker = &subscriber.identity;
+                    self.quota_usage.add_broker_report(self.clock.now(), broker, &report);
                 }
             }
-            FeedEvent::ObservedRollouts { reports } => self.rollouts.report(reports),
+            FeedEvent::RolloutsReported { reports } => self.rollouts.report(reports),
             FeedEvent::Closed { connection, closed_by_broker } => {
-                if let Some(gone) = self.subscribers.closed(connection) {
-                    self.quota_use.broker_left(self.clock.now(), &gone.broker, closed_by_broker);
+                if let Some(gone) = self.subscribers.remove(connection) {
+                    self.quota_usage.broker_left(self.clock.now(), &gone.broker, closed_by_broker);
                 }
             }
         }
     }
 
-    /// Reports what changed and passes on what others reported.
-    fn round(&mut self) {
-        for request in self.waiting_changes.round() {
+    /// Retries proposals, publishes changes of the members and proposes this process's reports.
+    fn tick(&mut self) {
+        for request in self.pending_changes.tick() {
             self.propose_again(request);
         }
         self.propose_routes_again();
-        self.follow_rollouts();
+        self.advance_rollouts();
         self.propose_crashes_again();
         self.subscribers.publish_members(&self.state);
-        self.quota_use.follow_members(self.clock.now(), &self.state);
-        if let Some(plan) = self.membership.poll_plan(&self.state) {
+        self.quota_usage.update_members(self.clock.now(), &self.state);
+        if let Some(plan) = self.state_reporter.poll_plan(&self.state) {
             // The polling task lives as long as the process.
-            let _ = self.outlets.polling.send(plan);
+            let _ = self.senders.polling.send(plan);
         }
-        let followers = self.subscribers.followers();
-        let commands = self.membership.reports(&self.state, followers);
+        let subscribers = self.subscribers.iter();
+        let commands = self.state_reporter.reports(&self.state, subscribers);
         if commands.is_empty() {
             return;
         }
@@ -468,7 +472,7 @@
                 }
             }
             // This task lives as long as the process.
-            let _ = messages.send(ClusterMessage::ReportsTaken);
+            let _ = messages.send(ClusterMessage::ReportsProposed);
         });
     }
 }
--- /dev/null
+++ b/crates/control/src/cluster_task/pending_routes.rs
@@ -0,0 +1,68 @@
+//! Replacements of the route configuration that await their outcome.
+
+use std::sync::Arc;
+
+use gingerkeel_domain::consensus;
+use gingerkeel_domain::routes::{AcceptedRoutes, RouteVersion};
+use local_sync::oneshot;
+
+use super::proposal_retry::ProposalRetry;
+use crate::replication::ProposeError;
+
+/// Receives the accepted version: that of the replacement or a higher one.
+pub type RoutesReply = oneshot::Sender<Result<RouteVersion, ProposeError>>;
+
+struct PendingReplacement {
+    routes: Arc<AcceptedRoutes>,
+    reply: RoutesReply,
+    retry: ProposalRetry,
+}
+
+/// Replacements that await their outcome.
+#[derive(Default)]
+pub struct PendingRoutes {
+    pending: Vec<PendingReplacement>,
+}
+
+impl PendingRoutes {
+    /// Registers a replacement whose outcome an operator awaits.
+    pub fn add(&mut self, routes: Arc<AcceptedRoutes>, reply: RoutesReply) {
+        self.pending.push(PendingReplacement { routes, reply, retry: ProposalRetry::default() });
+    }
+
+    /// Acknowledges replacements up to version `accepted`: they were accepted or superseded.
+    pub fn accepted(&mut self, accepted: RouteVersion) {
+        let due =
+            |pending: &mut PendingReplacement| pending.routes.configuration.version <= accepted;
+        for answered in self.pending.extract_if(.., due) {
+            // The operator may have disconnected; a resend is acknowledged as well.
+            let _ = answered.reply.send(Ok(accepted));
+        }
+    }
+
+    /// Handles a failed proposal. Without a leader the replacement is retried with the next tick:
+    /// the operator would only turn to another process, which has no leader either. Any other error
+    /// is returned to the operator.
+    pub fn not_proposed(&mut self, routes: &Arc<AcceptedRoutes>, error: &ProposeError) {
+        let same = |pending: &PendingReplacement| Arc::ptr_eq(&pending.routes, routes);
+        if matches!(error, ProposeError::Refused(consensus::ProposeError::NoLeader)) {
+            let pending = self.pending.iter_mut().find(|pending| same(pending));
+            pending.into_iter().for_each(|pending| pending.retry.retry_on_next_tick());
+            return;
+        }
+        for failed in self.pending.extract_if(.., |pending| same(pending)) {
+            // The operator may have disconnected.
+            let _ = failed.reply.send(Err(error.clone()));
+        }
+    }
+
+    /// Advances by one report tick and returns the replacements to propose again.
+    pub fn tick(&mut self) -> Vec<Arc<AcceptedRoutes>> {
+        self.pending.retain(|pending| !pending.reply.is_closed());
+        let due = self.pending.iter_mut().filter_map(|pending| {
+            let is_due = pending.retry.tick();
+            is_due.then(|| pending.routes.clone())
+        });
+        due.collect()
+    }
+}
--- a/crates/control/src/cluster_task/reads.rs
+++ b/crates/control/src/cluster_task/reads.rs
@@ -1,4 +1,4 @@
-//! Reads that wait for a quorum, and then for the state to reach what it confirmed.
+//! Linearizable reads: they wait for a quorum to confirm an index, then for it to be applied.
 
 use std::sync::Arc;
 
@@ -12,96 +12,99 @@
 use super::ConnectionId;
 use crate::replication::ReadError;
 
-/// A lease that a broker asked for.
+/// A broker's request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTicket {
     /// The broker's connection.
     pub connection: ConnectionId,
-    /// Number of the renewal.
+    /// Number of the request within the connection.
     pub ticket: u64,
 }
 
-/// A read.
+/// A read with the sender for its result.
 pub enum PendingRead {
-    /// An operator's look-up.
-    Look {
-        /// What.
+    /// A table for an operator.
+    Show {
+        /// The table to show.
         subject: Subject,
-        /// Where the table goes.
+        /// Receives the table.
         reply: oneshot::Sender<Result<StatementReply, ReadError>>,
     },
-    /// A look at the configuration of routes.
+    /// The route configuration.
     Routes {
-        /// Where it goes.
+        /// Receives the configuration; none if none was accepted yet.
         reply: oneshot::Sender<Result<Option<Arc<AcceptedRoutes>>, ReadError>>,
     },
-    /// A look at the newest roll-out of a service.
+    /// The newest roll-out of a service.
     Rollout {
-        /// The service.
+        /// The service that is rolled out.
         service: ServiceName,
-        /// Where it goes.
+        /// Receives the roll-out; none if the service had none.
         reply: oneshot::Sender<Result<Option<Rollout>, ReadError>>,
     },
-    /// Leases of brokers.
+    /// A batch of leases to grant.
     Leases(Vec<LeaseTicket>),
 }
 
 struct ConfirmedRead {
-    needs: LogIndex,
+    required_index: LogIndex,
     read: PendingRead,
 }
 
-/// All reads under way.
+/// Reads in progress.
 #[derive(Default)]
 pub struct Reads {
     confirmed: Vec<ConfirmedRead>,
-    asked: Vec<LeaseTicket>,
+    requested_leases: Vec<LeaseTicket>,
     confirming_leases: bool,
 }
 
 impl Reads {
-    /// A broker asks for a lease.
-    pub fn ask_lease(&mut self, connection: ConnectionId, ticket: u64) {
-        self.asked.push(LeaseTicket { connection, ticket });
+    /// Queues a request for a lease.
+    pub fn request_lease(&mut self, connection: ConnectionId, ticket: u64) {
+        self.requested_leases.push(LeaseTicket { connection, ticket });
     }
 
-    /// The leases to confirm now; none while a batch is under way, whose read began too early
-    /// for those that were asked for since.
+    /// Starts the next batch of leases; none while a batch is being confirmed. Later requests
+    /// cannot join that batch, because its read began before them.
     pub fn next_lease_batch(&mut self) -> Option<Vec<LeaseTicket>> {
-        if self.confirming_leases || self.asked.is_empty() {
+        if self.confirming_leases || self.requested_leases.is_empty() {
             return None;
         }
         self.confirming_leases = true;
-        Some(std::mem::take(&mut self.asked))
+        Some(std::mem::take(&mut self.requested_leases))
     }
 
-    /// The outcome of a batch of leases; without a quorum nothing is granted.
+    /// Handles the outcome of a batch of leases; without a quorum no lease is granted.
     pub fn leases_confirmed(
         &mut self,
         tickets: Vec<LeaseTicket>,
         outcome: Result<LogIndex, ReadError>,
     ) {
         self.confirming_leases = false;
-        if let Ok(needs) = outcome {
-            self.confirmed.push(ConfirmedRead { needs, read: PendingRead::Leases(tickets) });
+        if let Ok(required_index) = outcome {
+            self.confirmed
+                .push(ConfirmedRead { required_index, read: PendingRead::Leases(tickets) });
         }
     }
 
-    /// The outcome of reads.
+    /// Handles the outcome of reads; an error is returned to the requesters.
     pub fn confirmed(&mut self, reads: Vec<PendingRead>, outcome: Result<LogIndex, ReadError>) {
         for read in reads {
             match (&outcome, read) {
-                (Ok(needs), read) => self.confirmed.push(ConfirmedRead { needs: *needs, read }),
-                (Err(error), PendingRead::Look { reply, .. }) => {
-                    // The operator may have hung up.
+                (Ok(required_index), read) => {
+                    self.confirmed.push(ConfirmedRead { required_index: *required_index, read })
+                }
+                (Err(error), PendingRead::Show { reply, .. }) => {
+                    // The operator may have disconnected.
                     let _ = reply.send(Err(error.clone()));
                 }
                 (Err(error), PendingRead::Routes { reply }) => {
-                    // As above.
+                    // The operator may have disconnected.
                     let _ = reply.send(Err(error.clone()));
                 }
                 (Err(error), PendingRead::Rollout { reply, .. }) => {
-                    // As above.
+                    // The operator may have disconnected.
                     let _ = reply.send(Err(error.clone()));
                 }
                 (Err(_), PendingRead::Leases(_)) => {}
@@ -109,9 +112,9 @@
         }
     }
 
-    /// The reads that a state which has applied `applied` can serve.
+    /// Takes the reads that can be served once `applied` is applied.
     pub fn due(&mut self, applied: LogIndex) -> Vec<PendingRead> {
-        let due = self.confirmed.extract_if(.., |read| read.needs <= applied);
+        let due = self.confirmed.extract_if(.., |read| read.required_index <= applied);
         due.map(|read| read.read).collect()
     }
 }
--- a/crates/control/src/cluster_task/rollouts.rs
+++ b/crates/control/src/cluster_task/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: what brokers report of them, and when they go on.
+//! Roll-outs: collects brokers' reports and proposes the next stages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,35 +15,35 @@
 use super::ClusterTask;
 use crate::wall_clock::wall_time;
 
-/// What this process knows of a roll-out that is under way.
-struct Followed {
-    /// When it came to be known here.
+/// Local state of a roll-out in progress.
+struct TrackedRollout {
+    /// When this process first saw the roll-out.
     since: Timestamp,
     stage: RolloutStage,
-    /// Since when all brokers have the stage in force.
+    /// When all brokers first had the stage in force.
     everywhere_since: Option<Timestamp>,
 }
 
-/// Roll-outs as this process follows them; what decides is replicated.
+/// Timers and unsent reports of roll-outs. Evidence and stages are replicated.
 #[derive(Default)]
-pub struct RolloutWatch {
-    followed: BTreeMap<RolloutKey, Followed>,
-    /// What brokers reported since the last round.
+pub struct RolloutTracker {
+    tracked: BTreeMap<RolloutKey, TrackedRollout>,
+    /// Evidence from brokers since the last report tick.
     reported: GatheredEvidence,
 }
 
-impl RolloutWatch {
-    /// A broker that is fed here reported.
+impl RolloutTracker {
+    /// Merges reports of a broker that is subscribed here.
     pub fn report(&mut self, reports: Vec<RolloutReport>) {
         for report in reports {
             self.reported.of((report.service, report.begun)).merge(&report.evidence);
         }
     }
 
-    /// The steps that are due.
+    /// The stage changes that are due.
     fn due(&mut self, now: Timestamp, wall_ms: u64, state: &ClusterState) -> Vec<RolloutAdvance> {
         let rollouts = state.catalog().rollouts();
-        self.followed.retain(|(service, begun), _| {
+        self.tracked.retain(|(service, begun), _| {
             let newest = rollouts.get(service);
             newest.is_some_and(|newest| newest.begun == *begun && newest.stage.is_under_way())
         });
@@ -58,22 +58,22 @@
         state: &ClusterState,
         rollout: &Rollout,
     ) -> Option<RolloutAdvance> {
-        let fresh = Followed { since: now, stage: rollout.stage, everywhere_since: None };
-        let followed = self.followed.entry(rollout.key()).or_insert(fresh);
-        if followed.stage != rollout.stage {
-            (followed.stage, followed.everywhere_since) = (rollout.stage, None);
+        let fresh = TrackedRollout { since: now, stage: rollout.stage, everywhere_since: None };
+        let tracked = self.tracked.entry(rollout.key()).or_insert(fresh);
+        if tracked.stage != rollout.stage {
+            (tracked.stage, tracked.everywhere_since) = (rollout.stage, None);
         }
-        // The last change may be a later one: a broker that has it has the stage, too.
-        let moved = state.members().lagging(state.catalog().revision()).next().is_none();
-        followed.everywhere_since = match moved {
-            true => followed.everywhere_since.or(Some(now)),
-            false => followed.everywhere_since,
+        // The newest revision may be later than the stage: a broker that has it has the stage, too.
+        let is_everywhere = state.members().lagging(state.catalog().revision()).next().is_none();
+        tracked.everywhere_since = match is_everywhere {
+            true => tracked.everywhere_since.or(Some(now)),
+            false => tracked.everywhere_since,
         };
-        // A process that has just started was not there when the order came.
+        // After a restart the local timer starts anew, so the time of the order counts as well.
         let by_clock = wall_ms.saturating_sub(rollout.order.ordered_at_ms);
         let by_clock = by_clock.min(rollout.order.duration_ms);
-        let elapsed = now.since(followed.since).max(Duration::from_millis(by_clock));
-        let everywhere_for = followed.everywhere_since.map(|since| now.since(since));
+        let elapsed = now.since(tracked.since).max(Duration::from_millis(by_clock));
+        let everywhere_for = tracked.everywhere_since.map(|since| now.since(since));
         let none = Evidence::default();
         let evidence = state.rollout_evidence().of(rollout).unwrap_or(&none);
         let stage = next_stage(rollout, evidence, Progress { elapsed, everywhere_for })?;
@@ -83,8 +83,9 @@
 }
 
 impl ClusterTask {
-    /// Passes on what brokers reported, and has roll-outs go on that are due, where this process leads.
-    pub(super) fn follow_rollouts(&mut self) {
+    /// Proposes brokers' reports and, if this process is the leader, the stage changes that are
+    /// due.
+    pub(super) fn advance_rollouts(&mut self) {
         let reports = self.rollouts.reported.take_reports();
         let mut commands = Vec::new();
         if !reports.is_empty() {
@@ -100,7 +101,7 @@
                 commands.extend(due.into_iter().map(CommandBody::AdvanceRollout));
             }
             for command in commands {
-                // What is lost of reports is told by the next ones, and a step is due again.
+                // Later reports include lost ones, and a stage change stays due.
                 if let Err(error) = replication.propose(command).await {
                     debug!(event = "rollout_command_not_taken", %error);
                 }
@@ -108,7 +109,7 @@
         });
     }
 
-    /// Logs the stages that roll-outs have come to, with the answers by which they were decided.
+    /// Logs new stages of roll-outs with the evidence behind the decision.
     pub(super) fn rollouts_advanced(&self, steps: &[RolloutAdvance]) {
         for step in steps {
             let Some(rollout) = self.state.catalog().rollouts().get(&step.service) else {
--- a/crates/control/src/cluster_task/routes.rs
+++ b/crates/control/src/cluster_task/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and the list of leaves: replacements, reads and what is proposed of them.
+//! Replacement of the route configuration, and proposals of directory changes.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use gingerkeel_domain::routes::AcceptedRoutes;
 use tracing::info;
 
-use super::waiting_routes::RoutesReply;
+use super::pending_routes::RoutesReply;
 use super::{ClusterMessage, ClusterTask};
 use crate::directory_polling::ReadAtOnce;
 
 impl ClusterTask {
-    /// Replaces the configuration. One that is overtaken already is acknowledged at once, since
-    /// only accepted versions are applied here.
+    /// Proposes a replacement of the route configuration. A superseded one is acknowledged at once,
+    /// since the state holds only accepted versions.
     pub(super) fn replace_routes(&mut self, routes: Arc<AcceptedRoutes>, reply: RoutesReply) {
         let held = self.state.routes().version();
         if self.state.routes().current().is_some() && routes.configuration.version <= held {
-            // The operator may have hung up.
+            // The operator may have disconnected.
             let _ = reply.send(Ok(held));
             return;
         }
-        self.waiting_routes.add(routes.clone(), reply);
+        self.pending_routes.add(routes.clone(), reply);
         self.propose_routes(routes);
     }
 
@@ -40,24 +40,25 @@
         });
     }
 
-    /// A replacement was applied.
+    /// Handles an applied replacement: acknowledges it, and has the directory read at once if a
+    /// route names an unlisted leaf.
     pub(super) fn routes_replaced(&mut self) {
-        self.waiting_routes.accepted(self.state.routes().version());
+        self.pending_routes.accepted(self.state.routes().version());
         let routes = self.state.routes().current();
         if routes.is_some_and(|routes| routes.names_unlisted(self.state.directory())) {
-            // Without an outside list nobody listens.
-            let _ = self.outlets.read_directory.send(ReadAtOnce);
+            // Without an external directory there is no receiver.
+            let _ = self.senders.read_directory.send(ReadAtOnce);
         }
     }
 
-    /// Proposes again what got no outcome in time.
+    /// Retries replacements without an outcome.
     pub(super) fn propose_routes_again(&mut self) {
-        for routes in self.waiting_routes.round() {
+        for routes in self.pending_routes.tick() {
             self.propose_routes(routes);
         }
     }
 
-    /// The list of leaves was read: what differs from the replicated list is proposed.
+    /// Handles a reading of the external directory: proposes its difference to the replicated one.
     pub(super) fn directory_read(&mut self, reading: DirectoryReading) {
         let (now, known) = (self.clock.now(), self.state.directory());
         let mut listed = self.listed_leaves.read(now, known, reading);
--- a/crates/control/src/cluster_task/state_document.rs
+++ b/crates/control/src/cluster_task/state_document.rs
@@ -1,39 +1,40 @@
-//! The replicated state as a document, in snapshots.
+//! Encoding of the replicated state in snapshots.
 
 use gingerkeel_domain::cluster::{
     ClusterState, StateWithoutRefusedRequests, StateWithoutRollouts, StateWithoutTenants,
 };
 use gingerkeel_protocol::{ProtocolError, decode_document, encode_document};
 
-/// First bytes of the present layout. The first one began with a number, and none is laid out so.
-const MARK: [u8; 11] = [0xfd; 11];
-/// First bytes of the layout of releases that kept no refused requests.
-const WITHOUT_REFUSED_MARK: [u8; 11] = [0xfe; 11];
-/// First bytes of the layout of releases that knew tenants and no roll-outs.
-const FORMER_MARK: [u8; 11] = [0xff; 11];
+/// Prefix of the current layout. The oldest layout has no prefix; it starts with a number whose
+/// encoding never matches one of these prefixes.
+const CURRENT_PREFIX: [u8; 11] = [0xfd; 11];
+/// Prefix of the layout of releases without refused requests.
+const PREFIX_WITHOUT_REFUSED_REQUESTS: [u8; 11] = [0xfe; 11];
+/// Prefix of the layout of releases with tenants and without roll-outs.
+const PREFIX_WITHOUT_ROLLOUTS: [u8; 11] = [0xff; 11];
 
-/// Lays the state out.
+/// Encodes the state in the current layout.
 ///
 /// # Errors
-/// [`ProtocolError::Document`] when it cannot be.
+/// [`ProtocolError::Document`] if the state cannot be encoded.
 pub fn encode_state(state: &ClusterState) -> Result<Vec<u8>, ProtocolError> {
     let document = encode_document(state)?;
-    Ok([&MARK[..], &document].concat())
+    Ok([&CURRENT_PREFIX[..], &document].concat())
 }
 
-/// Reads a state back, also one in the layouts of releases that kept no refused requests, or knew no roll-outs, or no
-/// tenants either.
+/// Decodes a state, also in the layouts of releases without refused requests, without roll-outs or
+/// without tenants.
 ///
 /// # Errors
-/// [`ProtocolError::Document`] when the bytes are no such state.
+/// [`ProtocolError::Document`] if the bytes are not a state in any of these layouts.
 pub fn decode_state(bytes: &[u8]) -> Result<ClusterState, ProtocolError> {
-    if let Some(document) = bytes.strip_prefix(&MARK) {
+    if let Some(document) = bytes.strip_prefix(&CURRENT_PREFIX) {
         return decode_document(document);
     }
-    if let Some(document) = bytes.strip_prefix(&WITHOUT_REFUSED_MARK) {
+    if let Some(document) = bytes.strip_prefix(&PREFIX_WITHOUT_REFUSED_REQUESTS) {
         return decode_document::<StateWithoutRefusedRequests>(document).map(ClusterState::from);
     }
-    match bytes.strip_prefix(&FORMER_MARK) {
+    match bytes.strip_prefix(&PREFIX_WITHOUT_ROLLOUTS) {
         Some(document) => decode_document::<StateWithoutRollouts>(document).map(ClusterState::from),
         None => decode_document::<StateWithoutTenants>(bytes).map(ClusterState::from),
     }
--- a/crates/control/src/cluster_task/state_document/tests.rs
+++ b/crates/control/src/cluster_task/state_document/tests.rs
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn a_state_is_read_back_as_it_was() {
+fn encoded_state_decodes_to_the_same_state() {
     let state = state();
     let bytes = encode_state(&state).expect("a document");
     assert_eq!(decode_state(&bytes).expect("a state"), state);
 }
 
 #[test]
-fn bytes_that_are_no_state_are_refused() {
+fn invalid_bytes_are_refused() {
     let bytes = encode_state(&state()).expect("a document");
     assert!(decode_state(&bytes[..bytes.len() - 1]).is_err());
-    assert!(decode_state(&MARK).is_err());
-    assert!(decode_state(&FORMER_MARK).is_err());
+    assert!(decode_state(&CURRENT_PREFIX).is_err());
+    assert!(decode_state(&PREFIX_WITHOUT_ROLLOUTS).is_err());
     assert!(decode_state(&[]).is_err());
 }
 
 #[test]
-fn what_is_printed_of_a_state_tells_no_key() {
+fn debug_output_of_a_state_contains_no_key() {
     let printed = format!("{:?}", state());
     let document = format!("{:?}", b"k-1");
     assert!(printed.contains("kiosk") && !printed.contains(&document), "{printed}");
--- a/crates/control/src/cluster_task/membership.rs
+++ b/crates/control/src/cluster_task/state_reporter.rs
@@ -1,4 +1,4 @@
-//! What this process reports to the replicated state.
+//! Reports of this process to the replicated state: itself, its brokers, polled leaves and charges.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,60 +11,61 @@
 use gingerkeel_domain::identifiers::{BrokerName, ControlName, LeafId, Revision};
 
 use super::ConnectionId;
-use super::subscribers::Follower;
+use super::subscribers::Subscriber;
 use crate::leaf_polling::{PollPlan, PolledLeaf};
 
-/// Time between renewals of this process's own lease.
+/// Interval between renewals of this process's own lease.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
-/// Time that a broker has to come back, here or elsewhere, before it counts as gone.
-const RETURN_TIME: Duration = Duration::from_secs(5);
-/// Time that the log has to take the reports of a round, before the next round reports again.
-const REPORT_LIMIT: Duration = Duration::from_secs(10);
-/// Reports of charges in one command.
+/// Grace period for a disconnected broker to reconnect, here or elsewhere, before it is reported as
+/// gone.
+const BROKER_GRACE_PERIOD: Duration = Duration::from_secs(5);
+/// Time after which reports that are still being proposed no longer hold up new ones.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of charge reports in one command.
 const CHARGES_PER_COMMAND: usize = 256;
 
-/// Who this process is.
+/// Identity and addresses of this process.
 #[derive(Debug, Clone)]
 pub struct OwnIdentity {
-    /// Its name.
+    /// Name from the settings.
     pub name: ControlName,
-    /// Number of its run, drawn at start.
+    /// Random number of this run of the process.
     pub run: u64,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Where brokers reach it.
+    /// Address for brokers' feeds.
     pub feed: SocketAddr,
 }
 
-/// What the choice of leaves to poll depends on.
+/// Inputs of the poll plan: leaves are divided among the control processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PlanBasis {
     revision: Revision,
     controls: Vec<ControlName>,
 }
 
-/// What this process has to report.
-pub struct Membership {
+/// Collects the reports of this process.
+pub struct StateReporter {
     identity: OwnIdentity,
     renewed: Option<Instant>,
     reporting_since: Option<Instant>,
-    gone_since: BTreeMap<BrokerName, Instant>,
+    missing_since: BTreeMap<BrokerName, Instant>,
     polled: BTreeMap<LeafId, LeafHealth>,
     charges: Vec<ChargeReport>,
     overload: Vec<BrokerOverload>,
     planned_for: Option<PlanBasis>,
-    /// Connections of brokers that were recorded as fed here.
+    /// Connections of brokers that the replicated state has recorded as subscribed here.
     claimed: BTreeSet<ConnectionId>,
 }
 
-impl Membership {
-    /// Nothing to report but the process itself.
+impl StateReporter {
+    /// Creates a collector that has only the process itself to report.
     pub fn new(identity: OwnIdentity) -> Self {
         Self {
             identity,
             renewed: None,
             reporting_since: None,
-            gone_since: BTreeMap::new(),
+            missing_since: BTreeMap::new(),
             polled: BTreeMap::new(),
             charges: Vec::new(),
             overload: Vec::new(),
@@ -73,18 +74,19 @@
         }
     }
 
-    /// A leaf was polled.
+    /// Records the health of a polled leaf.
     pub fn leaf_polled(&mut self, leaf: LeafId, health: LeafHealth) {
         self.polled.insert(leaf, health);
     }
 
-    /// A broker reported charges.
-    pub fn charged(&mut self, report: Option<ChargeReport>) {
+    /// Adds a broker's report of charges.
+    pub fn add_charges(&mut self, report: Option<ChargeReport>) {
         self.charges.extend(report);
     }
 
-    /// A broker reported load and refusals; only its newest report of a service counts.
-    pub fn overloaded(&mut self, report: Option<BrokerOverload>) {
+    /// Adds a broker's report of load and refusals; it replaces the broker's older one of the
+    /// service.
+    pub fn add_overload(&mut self, report: Option<BrokerOverload>) {
         let Some(newer) = report else {
             return;
         };
@@ -94,12 +96,12 @@
         self.overload.push(newer);
     }
 
-    /// The reports of the last round are taken, or given up.
-    pub fn reports_taken(&mut self) {
+    /// The last reports were proposed or failed, so new ones may follow.
+    pub fn reports_proposed(&mut self) {
         self.reporting_since = None;
     }
 
-    /// The leaves that this process polls; none when they are as before.
+    /// The leaves that this process polls; none if the plan is unchanged.
     pub fn poll_plan(&mut self, state: &ClusterState) -> Option<PollPlan> {
         let controls: Vec<ControlName> = state.members().controls().keys().cloned().collect();
         let basis = PlanBasis { revision: state.catalog().revision(), controls };
@@ -114,20 +116,21 @@
         Some(plan)
     }
 
-    /// The commands of this round: where the replicated state differs from what is seen here.
+    /// Commands that correct the replicated state where it differs from what this process observes;
+    /// none while earlier ones are being proposed.
     pub fn reports<'a>(
         &mut self,
         state: &ClusterState,
-        followers: impl Iterator<Item = (ConnectionId, &'a Follower)>,
+        subscribers: impl Iterator<Item = (ConnectionId, &'a Subscriber)>,
     ) -> Vec<CommandBody> {
         let now = Instant::now();
-        let waits = |since: Instant| now.duration_since(since) < REPORT_LIMIT;
+        let waits = |since: Instant| now.duration_since(since) < REPORT_TIMEOUT;
         if self.reporting_since.is_some_and(waits) {
             return Vec::new();
         }
         let mut commands = Vec::new();
         self.report_self(now, &mut commands);
-        self.report_brokers(now, state, followers, &mut commands);
+        self.report_brokers(now, state, subscribers, &mut commands);
         self.report_leaves(state, &mut commands);
         self.report_charges(&mut commands);
         if !self.overload.is_empty() {
@@ -155,33 +158,33 @@
         &mut self,
         now: Instant,
         state: &ClusterState,
-        followers: impl Iterator<Item = (ConnectionId, &'a Follower)>,
+        subscribers: impl Iterator<Item = (ConnectionId, &'a Subscriber)>,
         commands: &mut Vec<CommandBody>,
     ) {
-        let fed: BTreeMap<ConnectionId, &Follower> = followers.collect();
-        self.claimed.retain(|connection| fed.contains_key(connection));
-        let followers: BTreeSet<&BrokerName> =
-            fed.values().map(|follower| &follower.identity.broker).collect();
-        let mut changes: Vec<BrokerChange> = fed
+        let subscribed: BTreeMap<ConnectionId, &Subscriber> = subscribers.collect();
+        self.claimed.retain(|connection| subscribed.contains_key(connection));
+        let subscribers: BTreeSet<&BrokerName> =
+            subscribed.values().map(|subscriber| &subscriber.identity.broker).collect();
+        let mut changes: Vec<BrokerChange> = subscribed
             .iter()
-            .filter(|(connection, follower)| !self.is_recorded(state, **connection, follower))
-            .map(|(_, follower)| BrokerChange::Follows {
-                broker: follower.identity.broker.clone(),
-                run: follower.identity.run,
-                placement: follower.identity.placement.clone(),
-                in_force: follower.in_force,
+            .filter(|(connection, subscriber)| !self.is_recorded(state, **connection, subscriber))
+            .map(|(_, subscriber)| BrokerChange::Follows {
+                broker: subscriber.identity.broker.clone(),
+                run: subscriber.identity.run,
+                placement: subscriber.identity.placement.clone(),
+                in_force: subscriber.in_force,
             })
             .collect();
         let recorded = state.members().brokers().iter();
         let own = recorded.filter(|(_, broker)| broker.control == self.identity.name);
         let missing: BTreeMap<&BrokerName, u64> = own
-            .filter(|(name, _)| !followers.contains(name))
+            .filter(|(name, _)| !subscribers.contains(name))
             .map(|(name, broker)| (name, broker.run))
             .collect();
-        self.gone_since.retain(|name, _| missing.contains_key(name));
+        self.missing_since.retain(|name, _| missing.contains_key(name));
         for (name, run) in missing {
-            let since = self.gone_since.entry(name.clone()).or_insert(now);
-            if now.duration_since(*since) >= RETURN_TIME {
+            let since = self.missing_since.entry(name.clone()).or_insert(now);
+            if now.duration_since(*since) >= BROKER_GRACE_PERIOD {
                 changes.push(BrokerChange::Left { broker: name.clone(), run });
             }
         }
@@ -191,26 +194,26 @@
         }
     }
 
-    /// Whether the replicated state says what is seen here. A broker that another control process
-    /// claimed since has moved there, and its connection here is about to be found dead.
+    /// Whether the replicated state matches this subscription. A broker that another control
+    /// process has reported since has moved there, and its connection here is dead.
     fn is_recorded(
         &mut self,
         state: &ClusterState,
         connection: ConnectionId,
-        follower: &Follower,
+        subscriber: &Subscriber,
     ) -> bool {
-        let Some(recorded) = state.members().brokers().get(&follower.identity.broker) else {
+        let Some(recorded) = state.members().brokers().get(&subscriber.identity.broker) else {
             return false;
         };
         if recorded.control != self.identity.name {
             return self.claimed.contains(&connection);
         }
-        if recorded.run == follower.identity.run {
+        if recorded.run == subscriber.identity.run {
             self.claimed.insert(connection);
         }
-        recorded.run == follower.identity.run
-            && recorded.placement == follower.identity.placement
-            && recorded.in_force >= follower.in_force
+        recorded.run == subscriber.identity.run
+            && recorded.placement == subscriber.identity.placement
+            && recorded.in_force >= subscriber.in_force
     }
 
     fn report_leaves(&mut self, state: &ClusterState, commands: &mut Vec<CommandBody>) {
@@ -229,7 +232,7 @@
         }
     }
 
-    /// A report that is lost here was not acknowledged, and the broker sends it again.
+    /// Proposes charges in batches. A lost report is not acknowledged, so the broker resends it.
     fn report_charges(&mut self, commands: &mut Vec<CommandBody>) {
         let reports = std::mem::take(&mut self.charges);
         let batches = reports.chunks(CHARGES_PER_COMMAND);
--- a/crates/control/src/cluster_task/subscribers.rs
+++ b/crates/control/src/cluster_task/subscribers.rs
@@ -1,4 +1,4 @@
-//! The brokers that this process feeds.
+//! Brokers that are subscribed to this process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,24 +25,24 @@
 use serde::Serialize;
 use tracing::{error, info};
 
-use super::copies::{Copies, packed};
 use super::reads::LeaseTicket;
-use super::usage::QuotaUse;
+use super::snapshot_cache::{SnapshotCache, pack};
+use super::usage::QuotaUsage;
 use super::{ConnectionId, SubscriberIdentity};
 
-/// How long a broker may rely on its catalog after it asked. With it, an accepted change is in
-/// force at every broker that serves within this time.
-const FRESHNESS_LEASE: Duration = Duration::from_secs(4);
+/// Duration of a broker's lease on its catalog, counted from its request. It bounds the time until
+/// an accepted change is in force at every broker that serves.
+const LEASE_DURATION: Duration = Duration::from_secs(4);
 
-/// Time after which a broker hears of the use of quotas though nothing changed: one that hears nothing
-/// for longer takes itself for cut off, and limits tenants by its share alone.
-const USAGE_SIGN_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a broker is sent usage although nothing changed. Without it for longer, a
+/// broker assumes that it is partitioned and limits tenants to its own share.
+const USAGE_KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A broker that follows the catalog here.
-pub struct Follower {
-    /// Who it is.
+/// A subscribed broker and what it was sent.
+pub struct Subscriber {
+    /// Name, run and placement of the broker.
     pub identity: SubscriberIdentity,
-    /// The revision that it has in force.
+    /// The newest revision that the broker has in force.
     pub in_force: Revision,
     sent: Revision,
     routes_sent: Option<RouteVersion>,
@@ -51,32 +51,32 @@
     feed: Tx<FeedMessage>,
 }
 
-/// What a broker was last told of the use of quotas.
+/// The last usage message to a broker.
 #[derive(Debug, Default)]
 struct UsageSent {
     at: Timestamp,
-    /// The report of its own that was acknowledged.
+    /// The broker's own report that the message acknowledged.
     heard: u64,
 }
 
-/// All brokers that this process feeds.
+/// All brokers that are subscribed to this process, with what was last published.
 #[derive(Default)]
 pub struct Subscribers {
-    connections: BTreeMap<ConnectionId, Follower>,
+    connections: BTreeMap<ConnectionId, Subscriber>,
     brokers: BrokerList,
     leaving_version: u64,
     thresholds: BTreeMap<ServiceName, u8>,
     controls: Vec<SocketAddr>,
-    copies: Copies,
+    snapshot_cache: SnapshotCache,
     warnings: WarningFold,
-    /// Refusing leaves that brokers and other control processes were not told of yet.
-    untold: Vec<LeafWarning>,
+    /// Warnings about refusing leaves that wait for the next usage tick.
+    unsent_warnings: Vec<LeafWarning>,
     findings: FindingFold,
 }
 
 impl Subscribers {
-    /// Opens a feed: the changes that the broker lacks, or the whole catalog when they are not
-    /// kept any more.
+    /// Opens a feed: sends the changes that the broker lacks, or the full catalog if the history no
+    /// longer has them, and then everything else that the broker needs before it serves.
     pub fn subscribe(
         &mut self,
         now: Timestamp,
@@ -89,12 +89,12 @@
         if state.catalog().broker_state(&identity.broker) == MemberState::Removed {
             info!(event = "broker_refused", broker = %identity.broker, reason = "removed");
             let reason = FeedRefusal::Removed;
-            // A writer that ended means that the broker is gone.
+            // If the writer has ended, the broker is gone.
             let _ = feed.send(FeedMessage::Refused { protocol_version: PROTOCOL_VERSION, reason });
             return;
         }
         info!(event = "broker_subscribed", broker = %identity.broker, revision = revision.0);
-        let mut follower = Follower {
+        let mut subscriber = Subscriber {
             identity,
             in_force: revision,
             sent: revision,
@@ -103,76 +103,79 @@
             usage_sent: UsageSent::default(),
             feed,
         };
-        // A broker that is ahead of this process waits: the lease tells it what is accepted.
-        if revision == Revision(0) || !follower.send_changes(state) {
-            follower.send_catalog(state.catalog());
+        // A broker that is ahead of this process is sent no changes; its lease names the accepted
+        // revision.
+        if revision == Revision(0) || !subscriber.send_changes(state) {
+            subscriber.send_catalog(state.catalog());
         }
-        // Before the leaves: who shares them bounds what may be sent to them.
-        if let Some(delta) = packed(&broker_list(state).whole()) {
-            follower.send(FeedMessage::Brokers { delta });
+        // Before the leaves: the number of brokers that share a leaf limits the requests to it.
+        if let Some(delta) = pack(&broker_list(state).whole()) {
+            subscriber.send(FeedMessage::Brokers { delta });
         }
-        // Before the routes, so that a broker does not serve without knowing them.
-        follower.send_refused_requests(&refused_requests(state), true);
+        // Before the routes, so that the broker does not serve requests that are to be refused.
+        subscriber.send_refused_requests(&refused_requests(state), true);
         let findings = self.findings.current(now);
         if !findings.is_empty() {
-            follower.send_findings(&findings);
+            subscriber.send_findings(&findings);
         }
-        follower.send_copies(state, &mut self.copies);
+        subscriber.send_snapshots(state, &mut self.snapshot_cache);
         let controls = feed_addresses(state);
-        follower.send_document(&controls, |addresses| FeedMessage::Controls { addresses });
-        follower.send(leaving(state));
-        // A broker that comes from another control process may still hold one that has ended.
+        subscriber.send_document(&controls, |addresses| FeedMessage::Controls { addresses });
+        subscriber.send(leaving(state));
+        // A broker from another control process may hold a threshold that is no longer in force.
         let thresholds = lowest_admitted(state);
         for service in state.catalog().services().keys() {
-            follower.send_threshold(service, thresholds.get(service).copied());
+            subscriber.send_threshold(service, thresholds.get(service).copied());
         }
-        self.forget_older_connections(&follower.identity.broker);
-        self.connections.insert(connection, follower);
+        self.drop_older_connections(&subscriber.identity.broker);
+        self.connections.insert(connection, subscriber);
     }
 
-    /// A broker has one feed: the newest.
-    fn forget_older_connections(&mut self, broker: &BrokerName) {
-        self.connections.retain(|_, follower| &follower.identity.broker != broker);
+    /// Drops older feeds of a broker: only its newest counts.
+    fn drop_older_connections(&mut self, broker: &BrokerName) {
+        self.connections.retain(|_, subscriber| &subscriber.identity.broker != broker);
     }
 
-    /// Sends what changed in the catalog.
+    /// Sends new catalog changes.
     pub fn publish_catalog(&mut self, state: &ClusterState) {
         let revision = state.catalog().revision();
-        for follower in self.connections.values_mut().filter(|broker| broker.sent < revision) {
-            if !follower.send_changes(state) {
-                follower.send_catalog(state.catalog());
+        for subscriber in self.connections.values_mut().filter(|broker| broker.sent < revision) {
+            if !subscriber.send_changes(state) {
+                subscriber.send_catalog(state.catalog());
             }
         }
     }
 
-    /// Sends what changed in the catalog and among leaving leaves.
+    /// Sends changes of catalog, leaving leaves, routes, directory and thresholds, and drops
+    /// removed brokers.
     pub fn publish(&mut self, state: &ClusterState) {
         self.publish_catalog(state);
         if state.leaf_hints().version() != self.leaving_version {
             self.leaving_version = state.leaf_hints().version();
-            self.connections.values().for_each(|follower| follower.send(leaving(state)));
+            self.connections.values().for_each(|subscriber| subscriber.send(leaving(state)));
         }
-        for follower in self.connections.values_mut() {
-            follower.send_copies(state, &mut self.copies);
+        for subscriber in self.connections.values_mut() {
+            subscriber.send_snapshots(state, &mut self.snapshot_cache);
         }
         self.publish_thresholds(state);
         let catalog = state.catalog();
-        self.connections.retain(|_, follower| {
-            catalog.broker_state(&follower.identity.broker) != MemberState::Removed
+        self.connections.retain(|_, subscriber| {
+            catalog.broker_state(&subscriber.identity.broker) != MemberState::Removed
         });
     }
 
-    /// Sends a change of the list of leaves, which the state holds already.
+    /// Sends a directory delta that is already applied to the state, to brokers that hold its base
+    /// version.
     pub fn publish_directory_delta(&mut self, state: &ClusterState, delta: &DirectoryDelta) {
         let version = state.directory().version();
-        let current = |broker: &&mut Follower| broker.directory_sent == delta.base;
-        let followers = self.connections.values_mut().filter(current);
-        let Some(delta) = packed(delta) else {
+        let current = |broker: &&mut Subscriber| broker.directory_sent == delta.base;
+        let subscribers = self.connections.values_mut().filter(current);
+        let Some(delta) = pack(delta) else {
             return;
         };
-        for follower in followers {
-            follower.send(FeedMessage::DirectoryChange { delta: delta.clone() });
-            follower.directory_sent = version;
+        for subscriber in subscribers {
+            subscriber.send(FeedMessage::DirectoryChange { delta: delta.clone() });
+            subscriber.directory_sent = version;
         }
     }
 
@@ -187,61 +190,62 @@
                 continue;
             }
             info!(event = "threshold_changed", %service, lowest_admitted = threshold);
-            for follower in self.connections.values() {
-                follower.send_threshold(service, threshold);
+            for subscriber in self.connections.values() {
+                subscriber.send_threshold(service, threshold);
             }
         }
     }
 
-    /// Sends what changed among the brokers, once for all that came and went since.
+    /// Sends changes of the control processes, and the accumulated changes of the brokers.
     pub fn publish_members(&mut self, state: &ClusterState) {
         self.publish_controls(state);
         let newer = broker_list(state);
         let Some(delta) = self.brokers.delta_to(&newer) else {
             return;
         };
-        if let Some(delta) = packed(&delta) {
-            let followers = self.connections.values();
-            followers
-                .for_each(|follower| follower.send(FeedMessage::Brokers { delta: delta.clone() }));
+        if let Some(delta) = pack(&delta) {
+            let subscribers = self.connections.values();
+            subscribers.for_each(|subscriber| {
+                subscriber.send(FeedMessage::Brokers { delta: delta.clone() })
+            });
         }
         self.brokers = newer;
     }
 
-    /// Tells brokers where else they may go.
+    /// Sends the feed addresses of all control processes, if they changed.
     fn publish_controls(&mut self, state: &ClusterState) {
         let controls = feed_addresses(state);
         if self.controls == controls {
             return;
         }
-        for follower in self.connections.values() {
-            follower.send_document(&controls, |addresses| FeedMessage::Controls { addresses });
+        for subscriber in self.connections.values() {
+            subscriber.send_document(&controls, |addresses| FeedMessage::Controls { addresses });
         }
         self.controls = controls;
     }
 
-    /// Grants leases at the revision that a quorum confirmed.
+    /// Grants leases at a revision that a quorum has confirmed.
     pub fn grant_leases(&self, revision: Revision, tickets: &[LeaseTicket]) {
         for ticket in tickets {
-            let Some(follower) = self.connections.get(&ticket.connection) else {
+            let Some(subscriber) = self.connections.get(&ticket.connection) else {
                 continue;
             };
-            follower.send(FeedMessage::Lease {
+            subscriber.send(FeedMessage::Lease {
                 ticket: ticket.ticket,
                 revision: revision.0,
-                duration_milliseconds: FRESHNESS_LEASE.as_millis() as u32,
+                duration_milliseconds: LEASE_DURATION.as_millis() as u32,
             });
         }
     }
 
-    /// A broker reports what it has in force.
+    /// Records the revision that a broker has in force.
     pub fn in_force(&mut self, connection: ConnectionId, revision: Revision) {
-        if let Some(follower) = self.connections.get_mut(&connection) {
-            follower.in_force = follower.in_force.max(revision);
+        if let Some(subscriber) = self.connections.get_mut(&connection) {
+            subscriber.in_force = subscriber.in_force.max(revision);
         }
     }
 
-    /// A report of charges under the name of the broker; none when it is not known any more.
+    /// Adds the broker's name to a report of charges; none if the connection is gone.
     pub fn charge_report(
         &self,
         connection: ConnectionId,
@@ -253,7 +257,7 @@
         Some(ChargeReport { broker, run, sequence, counters })
     }
 
-    /// A report of overload under the name of the broker; none when it is not known any more.
+    /// Adds the broker's name to a report of overload; none if the connection is gone.
     pub fn overload_report(
         &self,
         connection: ConnectionId,
@@ -263,10 +267,11 @@
         Some(BrokerOverload { broker, report })
     }
 
-    /// A broker saw slow, failing or refusing leaves. The brokers that feed here are warned of those that many find slow or
-    /// failing: if all brokers of the fleet turned away from a slow leaf at once, the others would not bear its load.
-    /// Leaves that refuse have no room anyway, and there may be hundreds: they are told to all, with the next round.
-    pub fn saw_slow_leaves(
+    /// Aggregates a broker's observations into warnings. Slow and failing leaves are published only
+    /// to brokers subscribed here: if the whole fleet avoided a slow leaf at once, the others could
+    /// not take its load. Refusing leaves have no capacity anyway and may number hundreds, so they
+    /// are published fleet-wide in a batch with the next usage tick.
+    pub fn report_slow_leaves(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -283,19 +288,19 @@
         let (for_all, for_own): (Vec<LeafWarning>, Vec<LeafWarning>) =
             warnings.into_iter().partition(is_for_all);
         self.warn_brokers(&for_own);
-        self.untold.extend(for_all);
+        self.unsent_warnings.extend(for_all);
     }
 
-    /// Warns the brokers that feed here of the refusing leaves that came to light since the last round; gives what other
-    /// control processes are to be told.
+    /// Sends the brokers subscribed here the warnings about refusing leaves since the last usage
+    /// tick, and returns them for the other control processes.
     pub fn publish_warnings(&mut self) -> Vec<LeafWarning> {
-        let warnings = std::mem::take(&mut self.untold);
+        let warnings = std::mem::take(&mut self.unsent_warnings);
         self.warn_brokers(&warnings);
         warnings
     }
 
-    /// Another control process warned its brokers: so are those that feed here.
-    pub fn peer_warned(&mut self, now: Timestamp, warnings: &[LeafWarning]) {
+    /// Adopts warnings of another control process and forwards them to the brokers subscribed here.
+    pub fn adopt_warnings(&mut self, now: Timestamp, warnings: &[LeafWarning]) {
         self.warnings.adopt(now, warnings);
         self.warn_brokers(warnings);
     }
@@ -304,22 +309,22 @@
         if warnings.is_empty() {
             return;
         }
-        for follower in self.connections.values() {
-            follower.send_warnings(warnings);
+        for subscriber in self.connections.values() {
+            subscriber.send_warnings(warnings);
         }
     }
 
-    /// Requests under which leaves have ended: the brokers that feed here are told of what is news. `reporter` is the
-    /// broker that found it, where that feeds here.
-    pub fn tell_findings(
+    /// Sends new findings of requests that crash leaves to the brokers subscribed here. `reporter`
+    /// is the connection of the broker that reported them, if it is subscribed here.
+    pub fn publish_findings(
         &mut self,
         now: Timestamp,
         reporter: Option<ConnectionId>,
         findings: Vec<CrashFinding>,
     ) {
         let reporter = reporter.and_then(|connection| self.connections.get(&connection));
-        let news = self.findings.report(now, findings);
-        for finding in &news {
+        let new_findings = self.findings.report(now, findings);
+        for finding in &new_findings {
             info!(
                 event = "crash_finding",
                 broker = reporter.map(|reporter| reporter.identity.broker.as_str()),
@@ -330,84 +335,84 @@
                 for_ms = finding.for_ms
             );
         }
-        if news.is_empty() {
+        if new_findings.is_empty() {
             return;
         }
-        for follower in self.connections.values() {
-            follower.send_findings(&news);
+        for subscriber in self.connections.values() {
+            subscriber.send_findings(&new_findings);
         }
     }
 
-    /// Tells the brokers that feed here which requests the replicated state refuses, or does not any more. What it has
-    /// released is no hint either to those that come later.
-    pub fn tell_refused_requests(&mut self, findings: &[CrashFinding]) {
+    /// Sends verdicts of the replicated state on refused requests to the brokers subscribed here. A
+    /// released request is also removed from the hints for later subscribers.
+    pub fn publish_refused_requests(&mut self, findings: &[CrashFinding]) {
         if findings.is_empty() {
             return;
         }
         let released = findings.iter().filter(|finding| finding.verdict == Verdict::Cleared);
         released.for_each(|finding| self.findings.forget(finding.digest));
-        for follower in self.connections.values() {
-            follower.send_refused_requests(findings, false);
+        for subscriber in self.connections.values() {
+            subscriber.send_refused_requests(findings, false);
         }
     }
 
-    /// Tells a broker that feeds here whether it may try a refused request.
+    /// Sends a broker that is subscribed here the decision on its trial of a refused request.
     pub fn answer_trial(&self, broker: &BrokerName, ticket: u64, granted: bool) {
-        let follower = self.connections.values().find(|known| known.identity.broker == *broker);
-        if let Some(follower) = follower {
-            follower.send(FeedMessage::Trial { ticket, granted });
+        let subscriber = self.connections.values().find(|known| known.identity.broker == *broker);
+        if let Some(subscriber) = subscriber {
+            subscriber.send(FeedMessage::Trial { ticket, granted });
         }
     }
 
-    /// Tells a broker that has just come of the warnings that last.
+    /// Sends a new subscriber the warnings that are still valid.
     pub fn send_current_warnings(&self, now: Timestamp, connection: ConnectionId) {
-        let Some(follower) = self.connections.get(&connection) else {
+        let Some(subscriber) = self.connections.get(&connection) else {
             return;
         };
         let warnings = self.warnings.current(now);
         if !warnings.is_empty() {
-            follower.send_warnings(&warnings);
+            subscriber.send_warnings(&warnings);
         }
     }
 
-    /// Tells brokers that feed here of the use of quotas. A broker hears at once of tenants that come near
-    /// their quotas and of its own reports, and otherwise as a sign of life.
-    pub fn publish_usage(&mut self, now: Timestamp, quota_use: &QuotaUse) {
-        for follower in self.connections.values_mut() {
-            let heard = quota_use.heard(&follower.identity);
-            let is_due = now.since(follower.usage_sent.at) >= USAGE_SIGN_INTERVAL;
-            if !quota_use.levels().is_empty() || heard != follower.usage_sent.heard || is_due {
-                follower.send_usage(now, quota_use);
+    /// Sends quota usage to the brokers subscribed here: at once when tenants are near their quotas
+    /// or a report of the broker is acknowledged, and otherwise as a keep-alive.
+    pub fn publish_usage(&mut self, now: Timestamp, quota_usage: &QuotaUsage) {
+        for subscriber in self.connections.values_mut() {
+            let heard = quota_usage.heard(&subscriber.identity);
+            let is_due = now.since(subscriber.usage_sent.at) >= USAGE_KEEPALIVE_INTERVAL;
+            if !quota_usage.levels().is_empty() || heard != subscriber.usage_sent.heard || is_due {
+                subscriber.send_usage(now, quota_usage);
             }
         }
     }
 
-    /// Tells a broker that has just come how the quotas stand.
+    /// Sends a new subscriber the current quota usage.
     pub fn send_current_usage(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
-        quota_use: &QuotaUse,
+        quota_usage: &QuotaUsage,
     ) {
-        let follower = self.connections.get_mut(&connection);
-        if let Some(follower) = follower.filter(|_| quota_use.can_tell(now)) {
-            follower.send_usage(now, quota_use);
+        let subscriber = self.connections.get_mut(&connection);
+        if let Some(subscriber) = subscriber.filter(|_| quota_usage.can_publish(now)) {
+            subscriber.send_usage(now, quota_usage);
         }
     }
 
-    /// The broker of a connection; none when it is not known any more.
-    pub fn follower(&self, connection: ConnectionId) -> Option<&Follower> {
+    /// The broker of a connection; none if the connection is gone.
+    pub fn get(&self, connection: ConnectionId) -> Option<&Subscriber> {
         self.connections.get(&connection)
     }
 
-    /// Tells brokers that feed here what became of their reports.
+    /// Acknowledges reports of charges to the brokers subscribed here.
     pub fn acknowledge_charges(&self, reports: &[ChargeReport], receipts: &[ChargeReceipt]) {
         for (report, receipt) in reports.iter().zip(receipts) {
-            let follower =
+            let subscriber =
                 self.connections.values().find(|known| known.identity.broker == report.broker);
             let (run, sequence) = (report.run, report.sequence);
-            if let Some(follower) = follower {
-                follower.send(match receipt {
+            if let Some(subscriber) = subscriber {
+                subscriber.send(match receipt {
                     ChargeReceipt::Recorded => FeedMessage::ChargesRecorded { run, sequence },
                     ChargeReceipt::RunSettled => FeedMessage::RunSettled { run, sequence },
                 });
@@ -415,21 +420,21 @@
         }
     }
 
-    /// A connection is lost. Gives the broker, unless it has come on another one.
-    pub fn closed(&mut self, connection: ConnectionId) -> Option<SubscriberIdentity> {
-        let follower = self.connections.remove(&connection)?;
-        info!(event = "broker_gone", broker = %follower.identity.broker);
-        Some(follower.identity)
+    /// Removes a connection that ended. Returns the broker, unless it has a newer connection.
+    pub fn remove(&mut self, connection: ConnectionId) -> Option<SubscriberIdentity> {
+        let subscriber = self.connections.remove(&connection)?;
+        info!(event = "broker_gone", broker = %subscriber.identity.broker);
+        Some(subscriber.identity)
     }
 
-    /// All brokers that are fed here.
-    pub fn followers(&self) -> impl Iterator<Item = (ConnectionId, &Follower)> {
-        self.connections.iter().map(|(connection, follower)| (*connection, follower))
+    /// All subscribed brokers with their connections.
+    pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Subscriber)> {
+        self.connections.iter().map(|(connection, subscriber)| (*connection, subscriber))
     }
 }
 
-impl Follower {
-    /// Sends the changes after what was sent; false when they are not kept.
+impl Subscriber {
+    /// Sends the changes since the last ones sent; false if the history no longer has them.
     fn send_changes(&mut self, state: &ClusterState) -> bool {
         let newest = state.catalog().revision();
         if self.sent > newest {
@@ -446,16 +451,16 @@
         true
     }
 
-    /// Sends the routes and the list of leaves where the broker lacks the newest.
-    fn send_copies(&mut self, state: &ClusterState, copies: &mut Copies) {
+    /// Sends the routes and the directory if the broker lacks the newest version.
+    fn send_snapshots(&mut self, state: &ClusterState, snapshot_cache: &mut SnapshotCache) {
         let accepted = state.routes().current();
         let newest = accepted.map(|accepted| accepted.configuration.version);
         if self.routes_sent < newest {
-            copies.routes(state).into_iter().for_each(|message| self.send(message));
+            snapshot_cache.routes(state).into_iter().for_each(|message| self.send(message));
             self.routes_sent = newest;
         }
         if self.directory_sent < state.directory().version() {
-            copies.directory(state).into_iter().for_each(|message| self.send(message));
+            snapshot_cache.directory(state).into_iter().for_each(|message| self.send(message));
             self.directory_sent = state.directory().version();
         }
     }
@@ -484,9 +489,9 @@
         self.send_document(&findings, message);
     }
 
-    fn send_usage(&mut self, now: Timestamp, quota_use: &QuotaUse) {
-        let heard = quota_use.heard(&self.identity);
-        let usage = FleetUsage { heard, levels: quota_use.levels().to_vec() };
+    fn send_usage(&mut self, now: Timestamp, quota_usage: &QuotaUsage) {
+        let heard = quota_usage.heard(&self.identity);
+        let usage = FleetUsage { heard, levels: quota_usage.levels().to_vec() };
         self.send_document(&usage, |usage| FeedMessage::Usage { usage });
         self.usage_sent = UsageSent { at: now, heard };
     }
@@ -503,12 +508,12 @@
     }
 
     fn send(&self, message: FeedMessage) {
-        // A writer that ended reports the connection as closed.
+        // If the writer has ended, the end of the connection is reported separately.
         let _ = self.feed.send(message);
     }
 }
 
-/// All brokers that may be serving as the replicated state knows them.
+/// All brokers that may be serving: subscribed ones and recently departed ones.
 fn broker_list(state: &ClusterState) -> BrokerList {
     let known = |name: &BrokerName, placement: &Placement, live| KnownBroker {
         entry: BrokerEntry { name: name.clone(), placement: placement.clone() },
@@ -520,7 +525,7 @@
     BrokerList::new(gone.chain(live))
 }
 
-/// What brokers are told of all requests that the replicated state refuses.
+/// The findings of all requests that the replicated state refuses.
 fn refused_requests(state: &ClusterState) -> Vec<CrashFinding> {
     let refused = state.refused_requests();
     let findings = refused.all().filter_map(|(digest, _)| refused.finding(state.now(), digest));
--- a/crates/control/src/cluster_task/usage.rs
+++ b/crates/control/src/cluster_task/usage.rs
@@ -1,7 +1,8 @@
-//! The use of quotas: what brokers and other control processes report, and what is told of it.
+//! Quota usage: aggregates reports of brokers and other control processes, and publishes the
+//! result.
 //!
-//! Nothing of it is replicated. It has rounds of its own, shorter than those of reports to the log:
-//! what tenants send within a round can be too much once.
+//! Usage is not replicated. It is published more often than reports are proposed to the log,
+//! because a tenant can exceed its quota by what it sends between two ticks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,32 +17,32 @@
 use super::{ClusterMessage, ClusterTask, SubscriberIdentity};
 use crate::replication::PeerUsageReport;
 
-/// Time between two rounds. A tenant that sends more than its quota has it exceeded by what it
-/// sends in about two of them.
+/// Interval between usage ticks. A tenant above its quota can exceed it by what it sends in about
+/// two intervals.
 const USAGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time for which operators are shown what brokers were told of a tenant: they are told again
-/// within a second while it is near its quota.
-const SHOWN_FOR: Duration = Duration::from_secs(2);
+/// Time for which operators are shown the level of a tenant after it was last sent to brokers.
+/// While a tenant is near its quota, its level is sent again within a second.
+const DISPLAY_PERIOD: Duration = Duration::from_secs(2);
 
-/// What this process knows of the use of quotas.
-pub struct QuotaUse {
+/// What this process knows about the usage of quotas.
+pub struct QuotaUsage {
     own_name: ControlName,
     fold: UsageFold,
-    /// The run of each broker that reported last.
+    /// The latest reporting run of each broker.
     runs: BTreeMap<BrokerName, BrokerRun>,
-    /// The version of the configuration whose quotas count.
+    /// Version of the route configuration whose quotas are in force.
     version: Option<RouteVersion>,
     /// Whether any tenant has a quota.
     has_quotas: bool,
-    /// What brokers were told with the last round.
+    /// Levels to publish until the next tick.
     levels: Vec<TenantLevel>,
-    /// What they were told last of each tenant, and when.
-    told: BTreeMap<TenantName, (Timestamp, TenantLevel)>,
+    /// The level last published for each tenant, with the time.
+    shown_levels: BTreeMap<TenantName, (Timestamp, TenantLevel)>,
 }
 
-impl QuotaUse {
-    /// Nothing is known yet; `run` is drawn for each start of a process.
+impl QuotaUsage {
+    /// Creates an empty aggregate; `run` is a random number for each start of the process.
     pub fn new(own_name: ControlName, run: u64) -> Self {
         Self {
             own_name,
@@ -50,13 +51,13 @@
             version: None,
             has_quotas: false,
             levels: Vec::new(),
-            told: BTreeMap::new(),
+            shown_levels: BTreeMap::new(),
         }
     }
 
-    /// Takes over the quotas of the replicated configuration, where it is newer than the one that
-    /// counts.
-    pub fn follow_quotas(&mut self, now: Timestamp, state: &ClusterState) {
+    /// Adopts the quotas of the replicated route configuration if it is newer than the one in
+    /// force.
+    pub fn update_quotas(&mut self, now: Timestamp, state: &ClusterState) {
         let Some(accepted) = state.routes().current() else {
             return;
         };
@@ -71,8 +72,8 @@
         self.fold.configure(now, quotas);
     }
 
-    /// Takes over which brokers may be serving, and which control process feeds each.
-    pub fn follow_members(&mut self, now: Timestamp, state: &ClusterState) {
+    /// Updates which brokers may be serving, and which control process each is subscribed to.
+    pub fn update_members(&mut self, now: Timestamp, state: &ClusterState) {
         let members = state.members();
         let serving = members.brokers().len() + members.departed().len();
         let brokers = members.brokers().iter();
@@ -82,8 +83,8 @@
         self.fold.set_peers(now, others.cloned());
     }
 
-    /// A broker that is fed here reported.
-    pub fn broker_used(
+    /// Adds a report of a broker that is subscribed here.
+    pub fn add_broker_report(
         &mut self,
         now: Timestamp,
         broker: &SubscriberIdentity,
@@ -94,80 +95,80 @@
         self.fold.report(now, &broker.broker, run, report);
     }
 
-    /// The link to a broker is lost, or its side closed it.
-    pub fn broker_left(&mut self, now: Timestamp, broker: &BrokerName, closed_by_it: bool) {
+    /// Handles the end of a broker's connection: closed by the broker, or lost.
+    pub fn broker_left(&mut self, now: Timestamp, broker: &BrokerName, closed_by_broker: bool) {
         self.runs.remove(broker);
-        if closed_by_it {
+        if closed_by_broker {
             self.fold.broker_stopped(now, broker);
         } else {
             self.fold.broker_gone(now, broker);
         }
     }
 
-    /// Another control process told its totals.
-    pub fn peer_used(&mut self, now: Timestamp, used: &PeerUsageReport) {
-        self.fold.peer(now, &used.control, &used.usage);
+    /// Adds the totals of another control process.
+    pub fn add_peer_report(&mut self, now: Timestamp, report: &PeerUsageReport) {
+        self.fold.peer(now, &report.control, &report.usage);
     }
 
-    /// What the other control processes are to be told.
+    /// The totals for the other control processes; none if no tenant has a quota.
     pub fn for_peers(&mut self, now: Timestamp) -> Option<PeerUsage> {
         let usage = self.fold.for_peers(now);
         self.has_quotas.then_some(usage)
     }
 
-    /// Takes stock of what brokers are to be told until the next round.
-    pub fn begin_round(&mut self, now: Timestamp) {
+    /// Computes the levels to publish until the next tick.
+    pub fn begin_tick(&mut self, now: Timestamp) {
         self.levels = self.fold.for_brokers(now);
-        self.told.retain(|_, (at, _)| now.since(*at) < SHOWN_FOR);
+        self.shown_levels.retain(|_, (at, _)| now.since(*at) < DISPLAY_PERIOD);
         for level in &self.levels {
-            self.told.insert(level.tenant.clone(), (now, level.clone()));
+            self.shown_levels.insert(level.tenant.clone(), (now, level.clone()));
         }
     }
 
-    /// How the quota of a tenant stands; none while it is far from used up.
+    /// The level of a tenant's quota; none while the tenant is far from it.
     pub fn level(&self, tenant: &TenantName) -> Option<&TenantLevel> {
-        self.told.get(tenant).map(|(_, level)| level)
+        self.shown_levels.get(tenant).map(|(_, level)| level)
     }
 
-    /// What brokers are told.
+    /// The levels to publish.
     pub fn levels(&self) -> &[TenantLevel] {
         &self.levels
     }
 
-    /// Whether there is anything to tell: there are quotas, and this process knows how they stand.
-    pub fn can_tell(&self, now: Timestamp) -> bool {
+    /// Whether levels can be published: quotas exist, and this process is informed about their usage.
+    pub fn can_publish(&self, now: Timestamp) -> bool {
         self.has_quotas && self.fold.is_informed(now)
     }
 
-    /// The last report of a broker's run that is contained in what is told; 0 for none.
+    /// Sequence number of the broker's last report that the levels include; 0 for none.
     pub fn heard(&self, broker: &SubscriberIdentity) -> u64 {
         let reported = self.runs.get(&broker.broker) == Some(&BrokerRun(broker.run));
         if reported { self.fold.heard(&broker.broker) } else { 0 }
     }
 }
 
-/// Sends the task its rounds for ever.
-pub async fn send_rounds(messages: Tx<ClusterMessage>) {
-    while messages.send(ClusterMessage::UsageRound).is_ok() {
+/// Sends usage ticks to the task for the life of the process.
+pub async fn send_ticks(messages: Tx<ClusterMessage>) {
+    while messages.send(ClusterMessage::UsageTick).is_ok() {
         monoio::time::sleep(USAGE_INTERVAL).await;
     }
 }
 
 impl ClusterTask {
-    /// Tells the other control processes and the brokers that are fed here what tenants used, and
-    /// which leaves to avoid.
-    pub(super) fn usage_round(&mut self) {
+    /// Sends usage and leaf warnings to the other control processes and to the brokers subscribed
+    /// here.
+    pub(super) fn usage_tick(&mut self) {
         let now = self.clock.now();
-        if let Some(usage) = self.quota_use.for_peers(now) {
+        if let Some(usage) = self.quota_usage.for_peers(now) {
             self.replication.broadcast_usage(usage);
         }
         let warnings = self.subscribers.publish_warnings();
         if !warnings.is_empty() {
             self.replication.broadcast_warnings(warnings);
         }
-        self.quota_use.begin_round(now);
-        if self.quota_use.can_tell(now) {
-            self.subscribers.publish_usage(now, &self.quota_use);
+        self.quota_usage.begin_tick(now);
+        if self.quota_usage.can_publish(now) {
+            self.subscribers.publish_usage(now, &self.quota_usage);
         }
     }
 }
--- a/crates/control/src/feed/connection.rs
+++ b/crates/control/src/feed/connection.rs
@@ -104,38 +104,38 @@
 ) -> Result<FeedEvent, ProtocolError> {
     match message {
         SubscriberMessage::Renew { ticket, in_force } => {
-            Ok(FeedEvent::Renewed { connection, ticket, in_force: Revision(in_force) })
+            Ok(FeedEvent::LeaseRequested { connection, ticket, in_force: Revision(in_force) })
         }
         SubscriberMessage::InForce { revision } => {
             Ok(FeedEvent::InForce { connection, revision: Revision(revision) })
         }
         SubscriberMessage::Charges { sequence, run, counters } => {
             let counters = decode_document(&counters.bytes)?;
-            Ok(FeedEvent::Charged { connection, run, sequence, counters })
+            Ok(FeedEvent::ChargesReported { connection, run, sequence, counters })
         }
         SubscriberMessage::Overload { report } => {
             let report = decode_document(&report.bytes)?;
-            Ok(FeedEvent::Overloaded { connection, report })
+            Ok(FeedEvent::OverloadReported { connection, report })
         }
         SubscriberMessage::SlowLeaves { observations } => {
             let observations = decode_document(&observations.bytes)?;
-            Ok(FeedEvent::SawSlowLeaves { connection, observations })
+            Ok(FeedEvent::SlowLeavesReported { connection, observations })
         }
         SubscriberMessage::CrashFindings { findings } => {
             let findings = decode_document(&findings.bytes)?;
-            Ok(FeedEvent::FoundCrashes { connection, findings })
+            Ok(FeedEvent::CrashesReported { connection, findings })
         }
         SubscriberMessage::AskTrial { ticket, finding } => {
             let finding = decode_document(&finding.bytes)?;
-            Ok(FeedEvent::AskedTrial { connection, ticket, finding })
+            Ok(FeedEvent::TrialRequested { connection, ticket, finding })
         }
         SubscriberMessage::Usage { report } => {
             let report = decode_document(&report.bytes)?;
-            Ok(FeedEvent::UsedQuotas { connection, report })
+            Ok(FeedEvent::UsageReported { connection, report })
         }
         SubscriberMessage::Rollouts { reports } => {
             let reports = decode_document(&reports.bytes)?;
-            Ok(FeedEvent::ObservedRollouts { reports })
+            Ok(FeedEvent::RolloutsReported { reports })
         }
         SubscriberMessage::Subscribe { .. } => {
             Err(ProtocolError::Malformed("second subscription".into()))
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -40,7 +40,7 @@
 
 pub use error::ControlError;
 
-use crate::cluster_task::{Outlets, OwnIdentity};
+use crate::cluster_task::{OwnIdentity, TaskSenders};
 use crate::native_directory::NativeDirectory;
 use crate::native_routes::NativeRoutes;
 use crate::order_checks::OrderChecks;
@@ -134,8 +134,8 @@
             cluster.clone(),
         ));
     }
-    let outlets = Outlets { polling, read_directory };
-    cluster_task::start(identity, replication, outlets, cluster.clone(), messages);
+    let senders = TaskSenders { polling, read_directory };
+    cluster_task::start(identity, replication, senders, cluster.clone(), messages);
     monoio::spawn(leaf_polling::run(plans, cluster.clone()));
     monoio::spawn(feed::serve(feed, cluster.clone()));
     operators::serve(operators, checks, cluster).await;
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -152,7 +152,7 @@
 async fn look(subject: Subject, cluster: &Tx<ClusterMessage>) -> StatementReply {
     let (reply, receiver) = oneshot::channel();
     // The cluster task lives as long as the process.
-    let _ = cluster.send(ClusterMessage::Look { subject, reply });
+    let _ = cluster.send(ClusterMessage::Show { subject, reply });
     let error = match timeout(STATEMENT_LIMIT, receiver).await {
         Ok(Ok(Ok(table))) => return table,
         Ok(Ok(Err(error))) => error.to_string(),
