--- a/crates/control/src/replication/membership.rs
+++ b/crates/control/src/replication/membership.rs
@@ -5,7 +5,7 @@
 use gingerkeel_domain::consensus::{Configuration, Growth, MemberChange, MemberId, NodeNumber};
 use gingerkeel_settings::ControlSettings;
 
-use super::peers::Directory;
+use super::peers::PeerDirectory;
 
 /// The members that the settings name, and whether the cluster may grow by itself.
 pub(super) struct ConfiguredMembers {
@@ -62,7 +62,7 @@
     /// reported an empty log and the same list of voters. A node that lost its disk therefore finds
     /// peers with a log and joins them, and a node with different settings cannot form a second
     /// cluster.
-    pub fn bootstrap_step(&self, directory: &Directory) -> BootstrapStep {
+    pub fn bootstrap_step(&self, directory: &PeerDirectory) -> BootstrapStep {
         if let Some(formed) = directory.any_formed() {
             return BootstrapStep::Join(formed, MemberChange::AddLearner(self.own));
         }
--- a/crates/control/src/replication/mod.rs
+++ b/crates/control/src/replication/mod.rs
@@ -102,7 +102,7 @@
     let (events, receiver) = unbounded::channel();
     let identity = opened.identity;
     let formed = !opened.recovered.is_empty();
-    let directory = peers::Directory::new(settings, identity, formed);
+    let directory = peers::PeerDirectory::new(settings, identity, formed);
     if let Some(address) = settings.peer_address() {
         let listener = listen(address).map_err(|error| StartError::Address(address, error))?;
         monoio::spawn(peers::serve(listener, directory.clone(), events.clone()));
--- a/crates/control/src/replication/peers/directory.rs
+++ b/crates/control/src/replication/peers/directory.rs
@@ -10,7 +10,7 @@
 
 /// Identities of the peers; shared by the tasks of one process.
 #[derive(Clone)]
-pub struct Directory {
+pub struct PeerDirectory {
     own: MemberId,
     formed: Rc<Cell<bool>>,
     cluster: Rc<str>,
@@ -21,7 +21,7 @@
     latest: Rc<RefCell<BTreeMap<NodeNumber, PeerIdentity>>>,
 }
 
-impl Directory {
+impl PeerDirectory {
     pub fn new(settings: &ControlSettings, own: MemberId, formed: bool) -> Self {
         let listed = settings.other_peers().map(|peer| NodeNumber(peer.node)).collect();
         Self {
--- a/crates/control/src/replication/peers/incoming.rs
+++ b/crates/control/src/replication/peers/incoming.rs
@@ -15,7 +15,7 @@
 use monoio_codec::FramedRead;
 use tracing::{info, warn};
 
-use super::directory::{Directory, member};
+use super::directory::{PeerDirectory, member};
 use crate::replication::messages::{PeerUsageReport, TaskEvent};
 
 /// Time limit for the handshake, and afterwards between two messages of a peer.
@@ -27,7 +27,7 @@
 type Writer = OwnedWriteHalf<TcpStream>;
 
 /// Accepts connections of peers for the life of the process.
-pub async fn serve(listener: TcpListener, directory: Directory, events: Tx<TaskEvent>) {
+pub async fn serve(listener: TcpListener, directory: PeerDirectory, events: Tx<TaskEvent>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -41,7 +41,7 @@
     }
 }
 
-async fn handle_connection(stream: TcpStream, directory: Directory, events: Tx<TaskEvent>) {
+async fn handle_connection(stream: TcpStream, directory: PeerDirectory, events: Tx<TaskEvent>) {
     // Without the option messages are only slower.
     let _ = stream.set_nodelay(true);
     let (read_half, mut writer) = stream.into_split();
@@ -54,7 +54,7 @@
 async fn receive(
     reader: &mut Reader,
     writer: &mut Writer,
-    directory: &Directory,
+    directory: &PeerDirectory,
     events: &Tx<TaskEvent>,
 ) -> Result<(), ProtocolError> {
     let Some(peer) = handshake(reader, writer, directory, events).await? else {
@@ -107,7 +107,7 @@
 async fn handshake(
     reader: &mut Reader,
     writer: &mut Writer,
-    directory: &Directory,
+    directory: &PeerDirectory,
     events: &Tx<TaskEvent>,
 ) -> Result<Option<MemberId>, ProtocolError> {
     let Some(PeerFrame::Hello { protocol_version, identity, cluster }) = next_frame(reader).await?
--- a/crates/control/src/replication/peers/mod.rs
+++ b/crates/control/src/replication/peers/mod.rs
@@ -5,6 +5,6 @@
 mod outgoing;
 mod usage_outbox;
 
-pub(super) use directory::{Directory, member};
+pub(super) use directory::{PeerDirectory, member};
 pub(super) use incoming::serve;
 pub(super) use outgoing::Links;
--- a/crates/control/src/replication/peers/outgoing.rs
+++ b/crates/control/src/replication/peers/outgoing.rs
@@ -19,7 +19,7 @@
 use monoio_codec::FramedRead;
 use tracing::{info, warn};
 
-use super::directory::Directory;
+use super::directory::PeerDirectory;
 use super::incoming::{refusal_text, send};
 use super::usage_outbox::UsageOutbox;
 use crate::replication::messages::TaskEvent;
@@ -47,7 +47,7 @@
     common_port: Option<u16>,
     own: NodeNumber,
     own_name: ShortText,
-    directory: Directory,
+    directory: PeerDirectory,
     events: Tx<TaskEvent>,
 }
 
@@ -111,7 +111,7 @@
 impl Links {
     pub fn start(
         settings: &ControlSettings,
-        directory: &Directory,
+        directory: &PeerDirectory,
         events: &Tx<TaskEvent>,
     ) -> Self {
         let mut links = Self {
@@ -192,7 +192,7 @@
     queue: Rx<Queued>,
     queued: Rc<Cell<usize>>,
     usage: Rc<RefCell<UsageOutbox>>,
-    directory: Directory,
+    directory: PeerDirectory,
     events: Tx<TaskEvent>,
 }
 
@@ -325,7 +325,7 @@
 async fn read_probe_replies(
     mut reader: Reader,
     last_reply: Rc<Cell<Option<Instant>>>,
-    directory: Directory,
+    directory: PeerDirectory,
 ) {
     let mut codec = FrameCodec::<PeerFrame>::default();
     while let Some(Ok(PeerFrame::ProbeReply { identity })) = reader.next_with(&mut codec).await {
--- a/crates/control/src/replication/task.rs
+++ b/crates/control/src/replication/task.rs
@@ -27,7 +27,7 @@
 use super::messages::{
     MemberStatus, ReplicationMessage, ReplicationStatus, StateMachineMessage, TaskEvent,
 };
-use super::peers::{Directory, Links};
+use super::peers::{Links, PeerDirectory};
 use super::requests::{ChangeReply, PendingRequests, ProposeReply, ReadReply};
 use crate::storage::{OpenedStorage, Writer, WriterEvent, WriterMessage};
 
@@ -48,7 +48,7 @@
     clock: Clock,
     writer: Writer,
     links: Links,
-    directory: Directory,
+    directory: PeerDirectory,
     planned: ConfiguredMembers,
     state_machine: Tx<StateMachineMessage>,
     requests: PendingRequests,
@@ -84,7 +84,7 @@
         options: ReplicationOptions,
         opened: OpenedStorage,
         links: Links,
-        directory: Directory,
+        directory: PeerDirectory,
         state_machine: Tx<StateMachineMessage>,
     ) -> io::Result<Self> {
         let clock = Clock::start();
