--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -7,7 +7,7 @@
 use gingerkeel_domain::crash_suspects::{CanaryGate, Caution, Permission, UnderWay, is_survived};
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{
-    AfterAttempt, AttemptError, Choice, NobodyReason, RequestAttempts, Selection, hedge_delay,
+    AfterAttempt, AttemptError, Choice, NoLeafReason, RequestAttempts, Selection, hedge_delay,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
 use gingerkeel_domain::rollout::Standing;
@@ -144,7 +144,7 @@
     /// The reply of a leaf that failed, for want of a better one.
     failure: Option<LeafReply>,
     /// Why no leaf was chosen when one was looked for last.
-    nobody: Option<NobodyReason>,
+    nobody: Option<NoLeafReason>,
     /// Drawn once, so that waiting does not change which versions the request may go to.
     lot: f64,
 }
@@ -278,7 +278,7 @@
             && !self.state.admission.is_overrun(self.route)
             && self.parts.spare.get() == 0
             && self.failure.is_none()
-            && !self.nobody.is_some_and(NobodyReason::is_lasting)
+            && !self.nobody.is_some_and(NoLeafReason::is_lasting)
             && waited <= whole.mul_f64(REFUSAL_WAIT_SHARE)
     }
 
--- a/crates/broker/src/routes/leaf_registry/choice.rs
+++ b/crates/broker/src/routes/leaf_registry/choice.rs
@@ -1,7 +1,7 @@
 //! Which leaf a request is sent to: of those that it may go to, the best.
 
 use gingerkeel_domain::directory::ListedLeaf;
-use gingerkeel_domain::forwarding::{Connectivity, Exclusion, NobodyReason, Selection};
+use gingerkeel_domain::forwarding::{Connectivity, Exclusion, NoLeafReason, Selection};
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
 use gingerkeel_domain::rollout::{VersionRule, VersionRules};
 use gingerkeel_domain::routes::{Route, Tenant};
@@ -28,7 +28,7 @@
         limits: ServiceLimits,
         tried: &[LeafIdentity],
     ) -> Selection {
-        let mut selection = Selection::Nobody(NobodyReason::NoneListed);
+        let mut selection = Selection::Nobody(NoLeafReason::NoneListed);
         for rule in versions.in_order() {
             selection = self.choose_of_versions(asker, rule, limits, tried);
             if !matches!(selection, Selection::Nobody(_)) {
@@ -47,7 +47,7 @@
     ) -> Selection {
         let leaves = self.leaves.borrow();
         let Some(state) = leaves.services.get(asker.service) else {
-            return Selection::Nobody(NobodyReason::NoneListed);
+            return Selection::Nobody(NoLeafReason::NoneListed);
         };
         let reach = |leaf: &LeafIdentity| match leaves.directory.leaves().get(leaf) {
             Some(leaf) if !versions.allows(&leaf.version) => Err(Exclusion::VersionHeldBack),
--- a/crates/broker/src/routes/serving.rs
+++ b/crates/broker/src/routes/serving.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use gingerkeel_domain::crash_suspects::Caution;
-use gingerkeel_domain::forwarding::{NobodyReason, RequestFailure};
+use gingerkeel_domain::forwarding::{NoLeafReason, RequestFailure};
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::routes::{Destination, Route, RouteLookup, RouteTable};
 use gingerkeel_transport::http1::RequestHead;
@@ -188,7 +188,7 @@
 ) -> Refusal {
     match request.evidence.get().failure(time_is_over) {
         RequestFailure::NotRun => {
-            let lasts = request.trail.nobody_reason().is_some_and(NobodyReason::is_lasting);
+            let lasts = request.trail.nobody_reason().is_some_and(NoLeafReason::is_lasting);
             Refusal::NotRun { retry_after: if lasts { LASTING_RETRY_AFTER } else { usual } }
         }
         RequestFailure::TimedOut => Refusal::TimedOut,
--- a/crates/broker/src/routes/trail.rs
+++ b/crates/broker/src/routes/trail.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use gingerkeel_domain::crash_suspects::Caution;
-use gingerkeel_domain::forwarding::{AttemptError, LoadReport, NobodyReason};
+use gingerkeel_domain::forwarding::{AttemptError, LoadReport, NoLeafReason};
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
 use gingerkeel_domain::leaf_warnings::Conduct;
 use gingerkeel_domain::routes::RouteVersion;
@@ -128,7 +128,7 @@
     /// Leaves that ended under it.
     leaves_ended: Cell<u32>,
     /// Why no leaf of a service could be asked; of several services, of the last.
-    nobody: Cell<Option<NobodyReason>>,
+    nobody: Cell<Option<NoLeafReason>>,
 }
 
 impl Trail {
@@ -170,12 +170,12 @@
     }
 
     /// No leaf of a service could be asked, or could be by the end of the request's time.
-    pub fn nobody(&self, reason: NobodyReason) {
+    pub fn nobody(&self, reason: NoLeafReason) {
         self.nobody.set(Some(reason));
     }
 
     /// What [`Self::nobody`] was told last; none before.
-    pub fn nobody_reason(&self) -> Option<NobodyReason> {
+    pub fn nobody_reason(&self) -> Option<NoLeafReason> {
         self.nobody.get()
     }
 
@@ -251,7 +251,7 @@
             attempts = attempts.len(),
             caution = self.caution.get().map(Caution::as_str),
             leaves_ended = (self.leaves_ended() > 0).then_some(self.leaves_ended()),
-            no_leaf = self.nobody.get().map(NobodyReason::as_str),
+            no_leaf = self.nobody.get().map(NoLeafReason::as_str),
             retry_after_ms = end.retry_after_ms,
             routes_version = end.routes_version.0,
             directory_version = end.directory_version
--- a/crates/domain/src/forwarding/eligibility.rs
+++ b/crates/domain/src/forwarding/eligibility.rs
@@ -53,7 +53,7 @@
 
 /// Why no leaf of a service can be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NobodyReason {
+pub enum NoLeafReason {
     /// No leaf of the service is listed.
     NoneListed,
     /// Every leaf was asked for this request already.
@@ -62,7 +62,7 @@
     Excluded(Exclusion),
 }
 
-impl NobodyReason {
+impl NoLeafReason {
     /// Whether waiting is unlikely to help within the time of a request.
     pub fn is_lasting(self) -> bool {
         matches!(self, Self::Excluded(exclusion) if exclusion.is_lasting())
@@ -86,17 +86,17 @@
 /// Collects why the leaves of a service were left out.
 #[derive(Debug, Default)]
 pub struct Exclusions {
-    seen: Option<NobodyReason>,
+    seen: Option<NoLeafReason>,
 }
 
 impl Exclusions {
     /// A leaf was left out.
-    pub fn add(&mut self, reason: NobodyReason) {
+    pub fn add(&mut self, reason: NoLeafReason) {
         self.seen = Some(self.seen.map_or(reason, |seen| seen.sooner(reason)));
     }
 
     /// Why nobody was left.
-    pub fn reason(self) -> NobodyReason {
-        self.seen.unwrap_or(NobodyReason::NoneListed)
+    pub fn reason(self) -> NoLeafReason {
+        self.seen.unwrap_or(NoLeafReason::NoneListed)
     }
 }
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::eligibility::{Exclusion, Exclusions, NobodyReason};
+use super::eligibility::{Exclusion, Exclusions, NoLeafReason};
 use super::load_report::LoadReport;
 use super::replica::{Distance, Outcome, Replica};
 use super::signs_of_life::LifeStep;
@@ -129,7 +129,7 @@
         otherwise: Option<Choice>,
     },
     /// No leaf can be asked.
-    Nobody(NobodyReason),
+    Nobody(NoLeafReason),
 }
 
 /// A leaf with what speaks for it, the less the better.
@@ -381,22 +381,22 @@
     presumed_ended: bool,
     tried: &[LeafIdentity],
     reach: impl Fn(&LeafIdentity) -> Result<Connectivity, Exclusion>,
-) -> Result<Connectivity, NobodyReason> {
+) -> Result<Connectivity, NoLeafReason> {
     if replica.leaving {
-        return Err(NobodyReason::Excluded(Exclusion::Leaving));
+        return Err(NoLeafReason::Excluded(Exclusion::Leaving));
     }
     if replica.is_address_taken() {
-        return Err(NobodyReason::Excluded(Exclusion::AddressTaken));
+        return Err(NoLeafReason::Excluded(Exclusion::AddressTaken));
     }
     if tried.contains(identity) {
-        return Err(NobodyReason::AllTried);
+        return Err(NoLeafReason::AllTried);
     }
-    let connectivity = reach(identity).map_err(NobodyReason::Excluded)?;
+    let connectivity = reach(identity).map_err(NoLeafReason::Excluded)?;
     if replica.is_ejected(now) {
-        return Err(NobodyReason::Excluded(Exclusion::Ejected));
+        return Err(NoLeafReason::Excluded(Exclusion::Ejected));
     }
     if presumed_ended {
-        return Err(NobodyReason::Excluded(Exclusion::PresumedEnded));
+        return Err(NoLeafReason::Excluded(Exclusion::PresumedEnded));
     }
     Ok(connectivity)
 }
--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -9,7 +9,7 @@
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::forwarding::{
     Connectivity, Distance, Exclusion, ExtraLoadBudget, ExtraLoadSettings, ExtraLoadShare,
-    MisdirectedRequests, NobodyReason, Outcome, ReplicaSet, ReplicaSettings, Selection,
+    MisdirectedRequests, NoLeafReason, Outcome, ReplicaSet, ReplicaSettings, Selection,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::time::Timestamp;
@@ -88,7 +88,7 @@
         "near" => Ok(Connectivity::Idle),
         _ => Err(Exclusion::RegionNotAllowed),
     };
-    let reason = NobodyReason::Excluded(Exclusion::PresumedEnded);
+    let reason = NoLeafReason::Excluded(Exclusion::PresumedEnded);
     let selection = set.choose(at(milliseconds), &ReplicaSettings::default(), &[], reach, || 0.0);
     selection == Selection::Nobody(reason)
 }
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -6,7 +6,7 @@
 
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::forwarding::{
-    Connectivity, Distance, Exclusion, GreatestRecords, NobodyReason, Outcome, RECORD_BYTES,
+    Connectivity, Distance, Exclusion, GreatestRecords, NoLeafReason, Outcome, RECORD_BYTES,
     ReplicaSet, ReplicaSettings, Selection, SharingBrokers, SplitTurns, connection_share,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
@@ -364,7 +364,7 @@
     };
     assert_eq!(asked(&choose(&[])).as_deref(), Some("near"));
     // The near leaf was tried: the others stay excluded, and it may be asked again later.
-    assert_eq!(choose(&[identity("near")]), Selection::Nobody(NobodyReason::AllTried));
+    assert_eq!(choose(&[identity("near")]), Selection::Nobody(NoLeafReason::AllTried));
 }
 
 #[test]
@@ -374,9 +374,9 @@
         set.choose(at(0), &ReplicaSettings::default(), &[], reach, || 0.0)
     };
     let forbidden = |_: &LeafIdentity| Err(Exclusion::RegionNotAllowed);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(NobodyReason::NoneListed));
+    assert_eq!(choose(&set, forbidden), Selection::Nobody(NoLeafReason::NoneListed));
     set.list(at(0), &leaf("elsewhere"), Distance::Far);
-    let reason = NobodyReason::Excluded(Exclusion::RegionNotAllowed);
+    let reason = NoLeafReason::Excluded(Exclusion::RegionNotAllowed);
     assert_eq!(choose(&set, forbidden), Selection::Nobody(reason));
     assert!(reason.is_lasting());
     set.list(
@@ -384,7 +384,7 @@
         &ListedLeaf { availability: LeafAvailability::Leaving, ..leaf("a") },
         Distance::Zone,
     );
-    let reason = NobodyReason::Excluded(Exclusion::Leaving);
+    let reason = NoLeafReason::Excluded(Exclusion::Leaving);
     assert_eq!(choose(&set, forbidden), Selection::Nobody(reason));
     assert!(!reason.is_lasting());
 }
@@ -397,7 +397,7 @@
     set.list(at(0), &leaf("gone"), Distance::Zone);
     set.begin(&identity("gone"));
     set.finish(at(0), &ReplicaSettings::default(), &identity("gone"), Outcome::AddressTaken);
-    let reason = NobodyReason::Excluded(Exclusion::AddressTaken);
+    let reason = NoLeafReason::Excluded(Exclusion::AddressTaken);
     for later in [1, 1_000, 60_000] {
         set.list(at(0), &leaf("gone"), Distance::Zone);
         assert_eq!(select(&set, at(later), &[], |_| Connectivity::Idle), Selection::Nobody(reason));
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -8,7 +8,7 @@
 use gingerkeel_domain::forwarding::{
     Admitted, AfterAttempt, AttemptError, Candidate, Choice, Connectivity, Distance, Ended,
     ExecutionEvidence, ExtraLoadBudget, ExtraLoadShare, GatherStep, GatherTimes, Gathering,
-    MisdirectedRequests, NobodyReason, Outcome, OverloadGate, OverloadGateSettings, ReplicaSet,
+    MisdirectedRequests, NoLeafReason, Outcome, OverloadGate, OverloadGateSettings, ReplicaSet,
     ReplicaSettings, RequestAttempts, RequestFailure, Selection, TicketNumber, hedge_delay,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
@@ -367,7 +367,7 @@
         };
         let random = &mut self.random;
         let Some(replicas) = self.replicas.get(&part.service) else {
-            return Selection::Nobody(NobodyReason::NoneListed);
+            return Selection::Nobody(NoLeafReason::NoneListed);
         };
         let tried = part.attempts.tried();
         replicas.choose(now, &self.replica_settings, tried, reach, || random.random())
