--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -204,7 +204,7 @@
                 return Next::Wait(CONNECTION_WAIT);
             }
             Selection::Wait { otherwise } => otherwise,
-            Selection::Nobody(reason) => {
+            Selection::NoLeaf(reason) => {
                 self.nobody = Some(reason);
                 None
             }
--- a/crates/broker/src/routes/leaf_registry/choice.rs
+++ b/crates/broker/src/routes/leaf_registry/choice.rs
@@ -28,10 +28,10 @@
         limits: ServiceLimits,
         tried: &[LeafIdentity],
     ) -> Selection {
-        let mut selection = Selection::Nobody(NoLeafReason::NoneListed);
+        let mut selection = Selection::NoLeaf(NoLeafReason::NoneListed);
         for rule in versions.in_order() {
             selection = self.choose_of_versions(asker, rule, limits, tried);
-            if !matches!(selection, Selection::Nobody(_)) {
+            if !matches!(selection, Selection::NoLeaf(_)) {
                 break;
             }
         }
@@ -47,7 +47,7 @@
     ) -> Selection {
         let leaves = self.leaves.borrow();
         let Some(state) = leaves.services.get(asker.service) else {
-            return Selection::Nobody(NoLeafReason::NoneListed);
+            return Selection::NoLeaf(NoLeafReason::NoneListed);
         };
         let reach = |leaf: &LeafIdentity| match leaves.directory.leaves().get(leaf) {
             Some(leaf) if !versions.allows(&leaf.version) => Err(Exclusion::VersionHeldBack),
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -129,7 +129,7 @@
         otherwise: Option<Choice>,
     },
     /// No leaf can be asked.
-    Nobody(NoLeafReason),
+    NoLeaf(NoLeafReason),
 }
 
 /// A leaf with what speaks for it, the less the better.
@@ -223,7 +223,7 @@
             }
         }
         match (best, exhausted) {
-            (None, None) => Selection::Nobody(left_out.reason()),
+            (None, None) => Selection::NoLeaf(left_out.reason()),
             (Some(best), None) => Selection::Ask(Choice::from(best)),
             (Some(best), Some(exhausted)) if !is_better(exhausted, best) => {
                 Selection::Ask(Choice::from(best))
--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -90,7 +90,7 @@
     };
     let reason = NoLeafReason::Excluded(Exclusion::PresumedEnded);
     let selection = set.choose(at(milliseconds), &ReplicaSettings::default(), &[], reach, || 0.0);
-    selection == Selection::Nobody(reason)
+    selection == Selection::NoLeaf(reason)
 }
 
 /// What was seen of the near leaf and when, in milliseconds, and whether it is presumed to have ended then.
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -61,7 +61,7 @@
 fn asked(selection: &Selection) -> Option<String> {
     match selection {
         Selection::Ask(choice) => Some(choice.leaf.as_str().to_owned()),
-        Selection::Wait { .. } | Selection::Nobody(_) => None,
+        Selection::Wait { .. } | Selection::NoLeaf(_) => None,
     }
 }
 
@@ -364,7 +364,7 @@
     };
     assert_eq!(asked(&choose(&[])).as_deref(), Some("near"));
     // The near leaf was tried: the others stay excluded, and it may be asked again later.
-    assert_eq!(choose(&[identity("near")]), Selection::Nobody(NoLeafReason::AllTried));
+    assert_eq!(choose(&[identity("near")]), Selection::NoLeaf(NoLeafReason::AllTried));
 }
 
 #[test]
@@ -374,10 +374,10 @@
         set.choose(at(0), &ReplicaSettings::default(), &[], reach, || 0.0)
     };
     let forbidden = |_: &LeafIdentity| Err(Exclusion::RegionNotAllowed);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(NoLeafReason::NoneListed));
+    assert_eq!(choose(&set, forbidden), Selection::NoLeaf(NoLeafReason::NoneListed));
     set.list(at(0), &leaf("elsewhere"), Distance::Far);
     let reason = NoLeafReason::Excluded(Exclusion::RegionNotAllowed);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(reason));
+    assert_eq!(choose(&set, forbidden), Selection::NoLeaf(reason));
     assert!(reason.is_lasting());
     set.list(
         at(0),
@@ -385,7 +385,7 @@
         Distance::Zone,
     );
     let reason = NoLeafReason::Excluded(Exclusion::Leaving);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(reason));
+    assert_eq!(choose(&set, forbidden), Selection::NoLeaf(reason));
     assert!(!reason.is_lasting());
 }
 
@@ -400,7 +400,7 @@
     let reason = NoLeafReason::Excluded(Exclusion::AddressTaken);
     for later in [1, 1_000, 60_000] {
         set.list(at(0), &leaf("gone"), Distance::Zone);
-        assert_eq!(select(&set, at(later), &[], |_| Connectivity::Idle), Selection::Nobody(reason));
+        assert_eq!(select(&set, at(later), &[], |_| Connectivity::Idle), Selection::NoLeaf(reason));
     }
     assert!(reason.is_lasting());
     set.list(at(0), &leaf("successor"), Distance::Far);
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -337,7 +337,7 @@
                 return;
             }
             Selection::Wait { otherwise } => otherwise,
-            Selection::Nobody(_) => None,
+            Selection::NoLeaf(_) => None,
         };
         // A hedge to a leaf that is late itself is hardly ever the first to answer.
         let choice = choice.filter(|choice| choice.sound || !hedge);
@@ -367,7 +367,7 @@
         };
         let random = &mut self.random;
         let Some(replicas) = self.replicas.get(&part.service) else {
-            return Selection::Nobody(NoLeafReason::NoneListed);
+            return Selection::NoLeaf(NoLeafReason::NoneListed);
         };
         let tried = part.attempts.tried();
         replicas.choose(now, &self.replica_settings, tried, reach, || random.random())
