--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::forwarding::{
-    Admitted, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
+    AdmissionDecision, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
 };
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::routes::Route;
@@ -45,9 +45,9 @@
             return Ok(());
         };
         let (ticket, admitted) = match self.join(service, candidate) {
-            Admitted::Yes => return Ok(()),
-            Admitted::No(retry_after) => return Err(retry_after),
-            Admitted::Waits(ticket) => (ticket, self.expect(service, ticket)),
+            AdmissionDecision::Admitted => return Ok(()),
+            AdmissionDecision::Refused(retry_after) => return Err(retry_after),
+            AdmissionDecision::Queued(ticket) => (ticket, self.expect(service, ticket)),
         };
         let mut wait = Wait { admission: self, service, ticket, is_over: false };
         match timeout(self.clock.until(candidate.give_up_at), admitted).await {
@@ -60,7 +60,7 @@
         }
     }
 
-    fn join(&self, service: &ServiceName, candidate: Candidate) -> Admitted {
+    fn join(&self, service: &ServiceName, candidate: Candidate) -> AdmissionDecision {
         let mut entrances = self.entrances.borrow_mut();
         let new = || Entrance { gate: OverloadGate::new(&self.settings), waiting: BTreeMap::new() };
         let entrance = entrances.entry(service.clone()).or_insert_with(new);
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -67,14 +67,14 @@
 
 /// Whether a request is served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It is; [`OverloadGate::finish`] has to follow.
-    Yes,
+    Admitted,
     /// It waits: [`OverloadGate::next`] gives its number once it is admitted, [`OverloadGate::leave`] ends
     /// the wait.
-    Waits(TicketNumber),
+    Queued(TicketNumber),
     /// It is not; its caller may come back after this time.
-    No(Duration),
+    Refused(Duration),
 }
 
 /// How a request that was admitted has ended.
@@ -207,19 +207,19 @@
         now: Timestamp,
         settings: &OverloadGateSettings,
         candidate: Candidate,
-    ) -> Admitted {
+    ) -> AdmissionDecision {
         self.round.arrived += 1;
         self.line.came(now, &candidate);
         if self.may_begin(settings, candidate.rank) {
             self.begin(&candidate);
-            return Admitted::Yes;
+            return AdmissionDecision::Admitted;
         }
         let expected = now.after(self.expected_wait(now, &candidate));
         let makes_the_rush = self.is_overrun() && !self.line.goes_first(&candidate);
         if makes_the_rush || expected >= candidate.give_up_at {
-            return Admitted::No(self.retry_after(now, settings));
+            return AdmissionDecision::Refused(self.retry_after(now, settings));
         }
-        Admitted::Waits(self.line.join(candidate))
+        AdmissionDecision::Queued(self.line.join(candidate))
     }
 
     /// The next request that waited and is admitted now; [`OverloadGate::finish`] has to follow.
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    Admitted, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
+    AdmissionDecision, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
 };
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
@@ -32,7 +32,7 @@
     now: Timestamp,
     settings: &OverloadGateSettings,
     rank: u32,
-) -> Admitted {
+) -> AdmissionDecision {
     gate.enter(now, settings, Candidate { rank, in_time_until: now, give_up_at: now, tenant: None })
 }
 
@@ -114,11 +114,11 @@
         let request = Request { came: now, admitted: now, rank };
         let until = now + self.patience;
         match self.gate.enter(at(now), &self.settings, candidate(rank as u32, now, until)) {
-            Admitted::Yes => self.queue.push(request),
-            Admitted::Waits(ticket) => {
+            AdmissionDecision::Admitted => self.queue.push(request),
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert(ticket, (until, request));
             }
-            Admitted::No(_) => self.refused[rank] += 1,
+            AdmissionDecision::Refused(_) => self.refused[rank] += 1,
         }
     }
 
@@ -169,7 +169,7 @@
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..1_000 {
         let now = at(number * 5);
-        assert_eq!(admit(&mut gate, now, &settings, 3), Admitted::Yes);
+        assert_eq!(admit(&mut gate, now, &settings, 3), AdmissionDecision::Admitted);
         gate.finish(now, &settings, ended(number % 8 != 0));
     }
     assert!(!gate.is_limiting());
@@ -186,7 +186,7 @@
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..200 {
         let now = at(number * 10);
-        if admit(&mut gate, now, &settings, 1) == Admitted::Yes {
+        if admit(&mut gate, now, &settings, 1) == AdmissionDecision::Admitted {
             gate.finish(now, &settings, Ended::Late { parts: Some((in_time, 10)) });
         }
     }
@@ -197,7 +197,7 @@
 fn requests_that_callers_gave_up_say_nothing_and_are_not_under_way() {
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..1_000 {
-        assert_eq!(admit(&mut gate, at(number), &settings, 0), Admitted::Yes);
+        assert_eq!(admit(&mut gate, at(number), &settings, 0), AdmissionDecision::Admitted);
         gate.finish(at(number), &settings, Ended::GivenUp);
     }
     assert_eq!(gate.in_flight(), 0);
@@ -209,7 +209,9 @@
     let mut world = World::new(2);
     world.run(0, 1_000, 6);
     let asked = |world: &mut World, now| loop {
-        if let Admitted::No(after) = admit(&mut world.gate, at(now), &world.settings, 5) {
+        if let AdmissionDecision::Refused(after) =
+            admit(&mut world.gate, at(now), &world.settings, 5)
+        {
             return after;
         }
     };
@@ -256,7 +258,7 @@
 fn who_waits_is_admitted_in_order(#[case] requests: &[(u32, u64)], #[case] expected: &[usize]) {
     let settings = OverloadGateSettings { first_limit: 1.0, reserve: 0.0, ..warm() };
     let mut gate = OverloadGate::new(&settings);
-    assert_eq!(admit(&mut gate, at(0), &settings, 0), Admitted::Yes);
+    assert_eq!(admit(&mut gate, at(0), &settings, 0), AdmissionDecision::Admitted);
     let mut tickets = Vec::new();
     for (rank, in_time_until) in requests {
         let candidate = Candidate {
@@ -265,7 +267,7 @@
             give_up_at: at(1_000),
             tenant: None,
         };
-        let Admitted::Waits(ticket) = gate.enter(at(0), &settings, candidate) else {
+        let AdmissionDecision::Queued(ticket) = gate.enter(at(0), &settings, candidate) else {
             panic!("it has to wait");
         };
         tickets.push(ticket);
@@ -284,9 +286,9 @@
 fn who_leaves_the_line_is_not_admitted_and_who_was_admitted_makes_room() {
     let settings = OverloadGateSettings { first_limit: 1.0, ..warm() };
     let mut gate = OverloadGate::new(&settings);
-    assert_eq!(admit(&mut gate, at(0), &settings, 0), Admitted::Yes);
+    assert_eq!(admit(&mut gate, at(0), &settings, 0), AdmissionDecision::Admitted);
     let wait = |gate: &mut OverloadGate| match gate.enter(at(0), &settings, candidate(0, 0, 900)) {
-        Admitted::Waits(ticket) => ticket,
+        AdmissionDecision::Queued(ticket) => ticket,
         other => panic!("{other:?}"),
     };
     let (left, stays) = (wait(&mut gate), wait(&mut gate));
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    Admitted, Candidate, Ended, OverloadGate, OverloadGateSettings, SharingTenant, TicketNumber,
-    WaitingLine,
+    AdmissionDecision, Candidate, Ended, OverloadGate, OverloadGateSettings, SharingTenant,
+    TicketNumber, WaitingLine,
 };
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::time::Timestamp;
@@ -107,11 +107,11 @@
         };
         let request = Request { came: now, admitted: now, broker, tenant: number };
         match self.gates[broker].enter(at(now), &OverloadGateSettings::default(), candidate) {
-            Admitted::Yes => self.queue.push(request),
-            Admitted::Waits(ticket) => {
+            AdmissionDecision::Admitted => self.queue.push(request),
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert((broker, ticket), request);
             }
-            Admitted::No(_) => {}
+            AdmissionDecision::Refused(_) => {}
         }
     }
 
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -6,8 +6,8 @@
 
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{
-    Admitted, AfterAttempt, AttemptError, Candidate, Choice, Connectivity, Distance, Ended,
-    ExecutionEvidence, ExtraLoadBudget, ExtraLoadShare, GatherStep, GatherTimes, Gathering,
+    AdmissionDecision, AfterAttempt, AttemptError, Candidate, Choice, Connectivity, Distance,
+    Ended, ExecutionEvidence, ExtraLoadBudget, ExtraLoadShare, GatherStep, GatherTimes, Gathering,
     MisdirectedRequests, NoLeafReason, Outcome, OverloadGate, OverloadGateSettings, ReplicaSet,
     ReplicaSettings, RequestAttempts, RequestFailure, Selection, TicketNumber, hedge_delay,
 };
@@ -138,12 +138,12 @@
         };
         let settings = self.gate_settings;
         match self.gate(kind).enter(now, &settings, candidate) {
-            Admitted::Yes => self.begin(now, kind, waiting, &mut actions),
-            Admitted::Waits(ticket) => {
+            AdmissionDecision::Admitted => self.begin(now, kind, waiting, &mut actions),
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert((kind, ticket), waiting);
                 actions.push(Action::Wake(ADMISSION_WAIT, Timer::Admission(kind, ticket)));
             }
-            Admitted::No(_) => actions.push(Action::End(number, Ending::NotRun)),
+            AdmissionDecision::Refused(_) => actions.push(Action::End(number, Ending::NotRun)),
         }
         actions
     }
