--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::forwarding::{
-    AdmissionDecision, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
+    AdmissionDecision, Candidate, OverloadGate, OverloadGateSettings, RequestOutcome, TicketNumber,
 };
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::routes::Route;
@@ -94,7 +94,7 @@
     }
 
     /// A request of a route that was admitted has ended.
-    pub fn finish(&self, route: &Route, ended: Ended) {
+    pub fn finish(&self, route: &Route, ended: RequestOutcome) {
         let mut entrances = self.entrances.borrow_mut();
         let service = route.destination.representative();
         let Some(entrance) = service.and_then(|service| entrances.get_mut(service)) else {
--- a/crates/broker/src/routes/record.rs
+++ b/crates/broker/src/routes/record.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use gingerkeel_domain::forwarding::Ended;
+use gingerkeel_domain::forwarding::RequestOutcome;
 use gingerkeel_domain::routes::{Route, RouteVersion};
 use gingerkeel_domain::time::Timestamp;
 
@@ -150,14 +150,14 @@
 
     /// What its end says of the leaves: they do not answer for its wait where it was late already when it
     /// was admitted.
-    fn how_it_ended(&self, route: &Route, admitted: &Admitted) -> Ended {
+    fn how_it_ended(&self, route: &Route, admitted: &Admitted) -> RequestOutcome {
         let since = if admitted.was_late { admitted.at } else { self.request.received };
         match self.status {
-            0 => Ended::GivenUp,
+            0 => RequestOutcome::GivenUp,
             // It says nothing of the load of the leaves.
-            500.. if self.request.trail.leaves_ended() > 0 => Ended::GivenUp,
-            200..=499 if is_in_time(route, since.elapsed()) => Ended::InTime,
-            _ => Ended::Late { parts: self.request.trail.parts_in_time() },
+            500.. if self.request.trail.leaves_ended() > 0 => RequestOutcome::GivenUp,
+            200..=499 if is_in_time(route, since.elapsed()) => RequestOutcome::InTime,
+            _ => RequestOutcome::Late { parts: self.request.trail.parts_in_time() },
         }
     }
 
--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -35,7 +35,7 @@
 pub use greatest::{GreatestRecords, RECORD_BYTES};
 pub use load_report::{LoadReport, ObservedLoad, USUAL_PACE};
 pub use misdirected::MisdirectedRequests;
-pub use overload::{AdmissionDecision, Ended, OverloadGate, OverloadGateSettings};
+pub use overload::{AdmissionDecision, OverloadGate, OverloadGateSettings, RequestOutcome};
 pub use planned_stop::PlannedStop;
 pub use replica::{Distance, Outcome};
 pub use replica_set::{
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -79,7 +79,7 @@
 
 /// How a request that was admitted has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// It was answered within its target latency, from its admission.
     InTime,
     /// It was not.
@@ -91,7 +91,7 @@
     GivenUp,
 }
 
-impl Ended {
+impl RequestOutcome {
     /// Whether it tells that leaves run short; none where it tells nothing. All shards of a request
     /// get the same load: where few of them are late, these are slow, and fewer requests would not
     /// make them faster.
@@ -260,13 +260,18 @@
         ticket: TicketNumber,
     ) -> Duration {
         if !self.line.leave(ticket) && self.admitted.remove(&ticket) {
-            self.finish(now, settings, Ended::GivenUp);
+            self.finish(now, settings, RequestOutcome::GivenUp);
         }
         self.retry_after(now, settings)
     }
 
     /// A request that was admitted has ended.
-    pub fn finish(&mut self, now: Timestamp, settings: &OverloadGateSettings, ended: Ended) {
+    pub fn finish(
+        &mut self,
+        now: Timestamp,
+        settings: &OverloadGateSettings,
+        ended: RequestOutcome,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.round.ended += 1;
         match ended.tells_of_shortage(settings) {
@@ -274,7 +279,7 @@
             Some(false) => self.round.good += 1,
             None => {}
         }
-        if let (Limit::Rising(limit), Ended::InTime) = (self.limit, ended) {
+        if let (Limit::Rising(limit), RequestOutcome::InTime) = (self.limit, ended) {
             self.limit = Limit::Rising(limit + 1.0);
         }
         if now.since(self.round.began) >= settings.round {
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    AdmissionDecision, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
+    AdmissionDecision, Candidate, OverloadGate, OverloadGateSettings, RequestOutcome, TicketNumber,
 };
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
@@ -12,8 +12,8 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-fn ended(in_time: bool) -> Ended {
-    if in_time { Ended::InTime } else { Ended::Late { parts: None } }
+fn ended(in_time: bool) -> RequestOutcome {
+    if in_time { RequestOutcome::InTime } else { RequestOutcome::Late { parts: None } }
 }
 
 /// Settings under which nothing is limited at the start.
@@ -187,7 +187,7 @@
     for number in 0..200 {
         let now = at(number * 10);
         if admit(&mut gate, now, &settings, 1) == AdmissionDecision::Admitted {
-            gate.finish(now, &settings, Ended::Late { parts: Some((in_time, 10)) });
+            gate.finish(now, &settings, RequestOutcome::Late { parts: Some((in_time, 10)) });
         }
     }
     assert_eq!(gate.is_limiting(), limits);
@@ -198,7 +198,7 @@
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..1_000 {
         assert_eq!(admit(&mut gate, at(number), &settings, 0), AdmissionDecision::Admitted);
-        gate.finish(at(number), &settings, Ended::GivenUp);
+        gate.finish(at(number), &settings, RequestOutcome::GivenUp);
     }
     assert_eq!(gate.in_flight(), 0);
     assert!(!gate.is_limiting());
@@ -275,7 +275,7 @@
     let mut order = Vec::new();
     for _ in requests {
         assert_eq!(gate.next(at(50), &settings), None);
-        gate.finish(at(50), &settings, Ended::GivenUp);
+        gate.finish(at(50), &settings, RequestOutcome::GivenUp);
         let ticket = gate.next(at(50), &settings).expect("one that waits");
         order.extend(tickets.iter().position(|known| *known == ticket));
     }
@@ -293,7 +293,7 @@
     };
     let (left, stays) = (wait(&mut gate), wait(&mut gate));
     gate.leave(at(1), &settings, left);
-    gate.finish(at(2), &settings, Ended::GivenUp);
+    gate.finish(at(2), &settings, RequestOutcome::GivenUp);
     assert_eq!(gate.next(at(2), &settings), Some(stays));
     assert_eq!(gate.in_flight(), 1);
     // Its caller left before it heard of its admission.
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    AdmissionDecision, Candidate, Ended, OverloadGate, OverloadGateSettings, SharingTenant,
-    TicketNumber, WaitingLine,
+    AdmissionDecision, Candidate, OverloadGate, OverloadGateSettings, RequestOutcome,
+    SharingTenant, TicketNumber, WaitingLine,
 };
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::time::Timestamp;
@@ -141,7 +141,7 @@
         let ended: Vec<_> = self.running.extract_if(.., |(end, _)| *end <= now).collect();
         let expired = self.queue.extract_if(.., |request| request.came + PATIENCE <= now);
         for request in expired {
-            let late = Ended::Late { parts: None };
+            let late = RequestOutcome::Late { parts: None };
             self.gates[request.broker].finish(at(now), &OverloadGateSettings::default(), late);
         }
         for (_, request) in ended {
@@ -149,8 +149,8 @@
             let was_late = request.admitted - request.came > TARGET - WORK;
             let since = if was_late { request.admitted } else { request.came };
             let ended = match now - since <= TARGET {
-                true => Ended::InTime,
-                false => Ended::Late { parts: None },
+                true => RequestOutcome::InTime,
+                false => RequestOutcome::Late { parts: None },
             };
             self.gates[request.broker].finish(at(now), &OverloadGateSettings::default(), ended);
         }
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -7,9 +7,10 @@
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{
     AdmissionDecision, AfterAttempt, AttemptError, Candidate, Choice, Connectivity, Distance,
-    Ended, ExecutionEvidence, ExtraLoadBudget, ExtraLoadShare, GatherStep, GatherTimes, Gathering,
+    ExecutionEvidence, ExtraLoadBudget, ExtraLoadShare, GatherStep, GatherTimes, Gathering,
     MisdirectedRequests, NoLeafReason, Outcome, OverloadGate, OverloadGateSettings, ReplicaSet,
-    ReplicaSettings, RequestAttempts, RequestFailure, Selection, TicketNumber, hedge_delay,
+    ReplicaSettings, RequestAttempts, RequestFailure, RequestOutcome, Selection, TicketNumber,
+    hedge_delay,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::tail::LatencyWindow;
@@ -478,8 +479,8 @@
         let parts = request.gathering.as_ref().map(Gathering::in_time);
         let in_time = now.since(request.admitted) <= TARGET;
         let ended = match &ending {
-            Ending::Answered(_) if in_time => Ended::InTime,
-            _ => Ended::Late { parts },
+            Ending::Answered(_) if in_time => RequestOutcome::InTime,
+            _ => RequestOutcome::Late { parts },
         };
         let settings = self.gate_settings;
         self.gate(request.kind).finish(now, &settings, ended);
