--- a/crates/domain/src/forwarding/waiting_line.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -33,13 +33,13 @@
 
 /// Requests that wait.
 #[derive(Debug, Default)]
-pub struct WaitingLine {
+pub struct AdmissionQueue {
     next: u64,
     waiting: BTreeMap<TicketNumber, Candidate>,
     shares: TenantShares,
 }
 
-impl WaitingLine {
+impl AdmissionQueue {
     /// A request comes, whether it is to wait or not.
     pub fn came(&mut self, now: Timestamp, candidate: &Candidate) {
         self.shares.arrived(now, candidate.rank, candidate.tenant);
--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -1,5 +1,6 @@
 //! Forwarding of a request to leaves: whom to ask, how often, and what to answer.
 
+mod admission_queue;
 mod attempts;
 mod cold_leaves;
 mod connection_allowance;
@@ -20,8 +21,8 @@
 mod signs_of_life;
 mod split;
 mod tenant_shares;
-mod waiting_line;
 
+pub use admission_queue::{AdmissionQueue, Candidate, TicketNumber};
 pub use attempts::{AfterAttempt, AttemptError, RequestAttempts, hedge_delay};
 pub use cold_leaves::{ColdLeaves, ColdShare, ColdStart};
 pub use connection_allowance::ConnectionAllowance;
@@ -43,4 +44,3 @@
 };
 pub use split::SplitTurns;
 pub use tenant_shares::{SharingTenant, TenantShares};
-pub use waiting_line::{Candidate, TicketNumber, WaitingLine};
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::waiting_line::{Candidate, TicketNumber, WaitingLine};
+use super::admission_queue::{AdmissionQueue, Candidate, TicketNumber};
 use crate::time::Timestamp;
 
 /// Rounds from which on a rush is taken for one that lasts.
@@ -117,7 +117,7 @@
     /// Recent rounds in which clearly more came than ended while leaves ran short, less those in which
     /// that was not so.
     rush_rounds: u32,
-    line: WaitingLine,
+    line: AdmissionQueue,
     /// Those that waited and do not know yet that they are admitted.
     admitted: BTreeSet<TicketNumber>,
     /// How many requests begin in a second though they are late already, smoothed over rounds.
@@ -173,7 +173,7 @@
             limited_since: Timestamp::ZERO,
             round: Round::default(),
             rush_rounds: 0,
-            line: WaitingLine::default(),
+            line: AdmissionQueue::default(),
             admitted: BTreeSet::new(),
             late_per_second: f64::INFINITY,
             judged_anew: false,
--- a/crates/domain/tests/waiting_line.rs
+++ b/crates/domain/tests/admission_queue.rs
@@ -1,6 +1,6 @@
 //! Who waits, in which order, and who waits in vain.
 
-use gingerkeel_domain::forwarding::{Candidate, WaitingLine};
+use gingerkeel_domain::forwarding::{AdmissionQueue, Candidate};
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
 
@@ -22,7 +22,7 @@
     #[case] late_per_second: f64,
     #[case] hopeless: usize,
 ) {
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     let late: Vec<_> = (0..5).map(|_| line.join(candidate(0, 100))).collect();
     let in_time = line.join(candidate(0, 600));
     let taken = line.take_hopeless(at(500), late_per_second);
@@ -35,7 +35,7 @@
 
 #[test]
 fn only_ranks_that_may_begin_are_taken() {
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     let (high, low) = (line.join(candidate(0, 600)), line.join(candidate(2, 600)));
     assert_eq!(line.take(at(0), |rank| rank > 1).map(|(ticket, _)| ticket), Some(low));
     assert!(line.take(at(0), |rank| rank > 1).is_none());
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    AdmissionDecision, Candidate, OverloadGate, OverloadGateSettings, RequestOutcome,
-    SharingTenant, TicketNumber, WaitingLine,
+    AdmissionDecision, AdmissionQueue, Candidate, OverloadGate, OverloadGateSettings,
+    RequestOutcome, SharingTenant, TicketNumber,
 };
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::time::Timestamp;
@@ -231,8 +231,8 @@
 
 /// A broker to which a large tenant sends ten requests a second, of which one and a half begin, and twenty
 /// small ones together one in a second.
-fn busy_line(until_s: u64) -> WaitingLine {
-    let mut line = WaitingLine::default();
+fn busy_line(until_s: u64) -> AdmissionQueue {
+    let mut line = AdmissionQueue::default();
     let (large, other) =
         (waiting(RANK, Some(tenant(20, 10))), |number| waiting(RANK, Some(tenant(number, 1))));
     for tenth in 0..until_s * 10 {
@@ -278,7 +278,7 @@
 
 #[test]
 fn where_nothing_begins_nobody_is_held_in_vain() {
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     let request = |number| waiting(RANK, Some(tenant(number, 1)));
     for step in 0..40 {
         line.came(at(step * 100), &request((step % 4) as usize));
