--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -119,7 +119,7 @@
                 let _ = admitted.send(());
             }
         }
-        for ticket in entrance.gate.hopeless(now) {
+        for ticket in entrance.gate.take_unservable(now) {
             entrance.waiting.remove(&ticket);
         }
     }
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -244,7 +244,7 @@
 
     /// Requests that wait in vain, as the last rounds tell: while as many come as are served, nothing is
     /// left over for those that are late already. They are to be refused at once.
-    pub fn hopeless(&mut self, now: Timestamp) -> Vec<TicketNumber> {
+    pub fn take_unservable(&mut self, now: Timestamp) -> Vec<TicketNumber> {
         match std::mem::take(&mut self.judged_anew) && self.is_overrun() {
             true => self.line.take_hopeless(now, self.late_per_second),
             false => Vec::new(),
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -99,7 +99,7 @@
                 self.gate.begun(ticket);
                 self.queue.push(Request { admitted: now, ..request });
             }
-            for ticket in self.gate.hopeless(at(now)) {
+            for ticket in self.gate.take_unservable(at(now)) {
                 let (_, request) = self.waiting.remove(&ticket).expect("one that waits");
                 self.refused[request.rank] += 1;
             }
@@ -326,7 +326,7 @@
 fn who_was_refused_while_it_waited_does_not_count_as_under_way() {
     let mut world = World::with(4, 5_000, warm());
     world.run(0, 4_000, 8);
-    let ticket = world.gate.hopeless(at(4_000)).first().copied();
+    let ticket = world.gate.take_unservable(at(4_000)).first().copied();
     let in_flight = world.gate.in_flight();
     if let Some(ticket) = ticket {
         world.gate.leave(at(4_000), &world.settings, ticket);
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -122,7 +122,7 @@
             let request = self.waiting.remove(&(broker, ticket)).expect("one that waits");
             self.queue.push(Request { admitted: now, ..request });
         }
-        for ticket in gate.hopeless(at(now)) {
+        for ticket in gate.take_unservable(at(now)) {
             self.waiting.remove(&(broker, ticket));
         }
     }
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -178,7 +178,7 @@
                 self.begin(now, kind, waiting, actions);
             }
         }
-        for ticket in self.gate(kind).hopeless(now) {
+        for ticket in self.gate(kind).take_unservable(now) {
             if let Some(waiting) = self.waiting.remove(&(kind, ticket)) {
                 actions.push(Action::End(waiting.number, Ending::NotRun));
             }
