--- a/crates/domain/src/forwarding/admission_queue.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -94,7 +94,7 @@
 
     /// Those that cannot be in time any more and would wait in vain, when so many of their kind are served
     /// in a second: they do not wait any more.
-    pub fn take_hopeless(&mut self, now: Timestamp, late_per_second: f64) -> Vec<TicketNumber> {
+    pub fn take_unservable(&mut self, now: Timestamp, late_per_second: f64) -> Vec<TicketNumber> {
         let is_late = |(_, candidate): &(&TicketNumber, &Candidate)| now >= candidate.in_time_until;
         let mut late: Vec<_> = self.waiting.iter().filter(is_late).collect();
         late.sort_by_key(|waiting| self.order(now, *waiting));
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -246,7 +246,7 @@
     /// left over for those that are late already. They are to be refused at once.
     pub fn take_unservable(&mut self, now: Timestamp) -> Vec<TicketNumber> {
         match std::mem::take(&mut self.judged_anew) && self.is_overrun() {
-            true => self.line.take_hopeless(now, self.late_per_second),
+            true => self.line.take_unservable(now, self.late_per_second),
             false => Vec::new(),
         }
     }
--- a/crates/domain/tests/admission_queue.rs
+++ b/crates/domain/tests/admission_queue.rs
@@ -25,7 +25,7 @@
     let mut line = AdmissionQueue::default();
     let late: Vec<_> = (0..5).map(|_| line.join(candidate(0, 100))).collect();
     let in_time = line.join(candidate(0, 600));
-    let taken = line.take_hopeless(at(500), late_per_second);
+    let taken = line.take_unservable(at(500), late_per_second);
     assert_eq!(taken.len(), hopeless);
     assert_eq!(line.len(), 6 - hopeless);
     // Those that came first are served first, and so kept.
