--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -129,7 +129,7 @@
         let entrances = self.entrances.borrow();
         let service = route.destination.representative();
         let entrance = service.and_then(|service| entrances.get(service));
-        entrance.is_some_and(|entrance| entrance.gate.is_overrun())
+        entrance.is_some_and(|entrance| entrance.gate.is_overloaded())
     }
 }
 
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -187,7 +187,7 @@
     }
 
     /// Whether leaves run short while clearly more requests come than end.
-    pub fn is_overrun(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.rush_rounds >= RUSH_ROUNDS
     }
 
@@ -215,7 +215,7 @@
             return AdmissionDecision::Admitted;
         }
         let expected = now.after(self.expected_wait(now, &candidate));
-        let makes_the_rush = self.is_overrun() && !self.line.goes_first(&candidate);
+        let makes_the_rush = self.is_overloaded() && !self.line.goes_first(&candidate);
         if makes_the_rush || expected >= candidate.give_up_at {
             return AdmissionDecision::Refused(self.retry_after(now, settings));
         }
@@ -245,7 +245,7 @@
     /// Requests that wait in vain, as the last rounds tell: while as many come as are served, nothing is
     /// left over for those that are late already. They are to be refused at once.
     pub fn take_unservable(&mut self, now: Timestamp) -> Vec<TicketNumber> {
-        match std::mem::take(&mut self.judged_anew) && self.is_overrun() {
+        match std::mem::take(&mut self.judged_anew) && self.is_overloaded() {
             true => self.line.take_unservable(now, self.late_per_second),
             false => Vec::new(),
         }
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -307,7 +307,7 @@
     world.run(0, 1_000, 1);
     // Four times the capacity.
     world.run(1_000, 3_000, 8);
-    assert!(world.gate.is_overrun());
+    assert!(world.gate.is_overloaded());
     world.run(3_000, 8_000, 8);
     let waiting = world.waiting.len();
     let refused = world.refused[0] + world.refused[1];
@@ -319,7 +319,7 @@
     assert!(in_time > 2 * (world.late[0] + world.late[1]), "{in_time} {:?}", world.late);
     // Once it is over those that come may wait again.
     world.run(8_000, 11_000, 1);
-    assert!(!world.gate.is_overrun());
+    assert!(!world.gate.is_overloaded());
 }
 
 #[test]
