--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -78,7 +78,7 @@
 
     fn begun(&self, service: &ServiceName, ticket: TicketNumber) {
         if let Some(entrance) = self.entrances.borrow_mut().get_mut(service) {
-            entrance.gate.begun(ticket);
+            entrance.gate.confirm_admission(ticket);
         }
     }
 
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -238,7 +238,7 @@
     }
 
     /// A request that waited knows that it is admitted.
-    pub fn begun(&mut self, ticket: TicketNumber) {
+    pub fn confirm_admission(&mut self, ticket: TicketNumber) {
         self.admitted.remove(&ticket);
     }
 
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -96,7 +96,7 @@
             }
             while let Some(ticket) = self.gate.next(at(now), &self.settings) {
                 let (_, request) = self.waiting.remove(&ticket).expect("one that waits");
-                self.gate.begun(ticket);
+                self.gate.confirm_admission(ticket);
                 self.queue.push(Request { admitted: now, ..request });
             }
             for ticket in self.gate.take_unservable(at(now)) {
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -118,7 +118,7 @@
     fn admit(&mut self, now: u64, broker: usize) {
         let gate = &mut self.gates[broker];
         while let Some(ticket) = gate.next(at(now), &OverloadGateSettings::default()) {
-            gate.begun(ticket);
+            gate.confirm_admission(ticket);
             let request = self.waiting.remove(&(broker, ticket)).expect("one that waits");
             self.queue.push(Request { admitted: now, ..request });
         }
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -173,7 +173,7 @@
     fn admit_next(&mut self, now: Timestamp, kind: RouteKind, actions: &mut Vec<Action>) {
         let settings = self.gate_settings;
         while let Some(ticket) = self.gate(kind).next(now, &settings) {
-            self.gate(kind).begun(ticket);
+            self.gate(kind).confirm_admission(ticket);
             if let Some(waiting) = self.waiting.remove(&(kind, ticket)) {
                 self.begin(now, kind, waiting, actions);
             }
