--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -40,7 +40,7 @@
     pub reserve: f64,
     /// How many times as many requests as end have to come in a round for it to be said that those
     /// which wait would wait in vain.
-    pub rush: f64,
+    pub surge_ratio: f64,
     /// Limit at the start.
     pub first_limit: f64,
     /// Bounds of the time after which a refused caller may come back.
@@ -58,7 +58,7 @@
             increase: 1.05,
             least_limit: 2.0,
             reserve: 0.3,
-            rush: 1.25,
+            surge_ratio: 1.25,
             first_limit: 4.0,
             retry_after: [Duration::from_millis(800), Duration::from_secs(4)],
         }
@@ -149,7 +149,7 @@
 impl Round {
     /// Whether clearly more requests came than ended.
     fn is_rush(&self, settings: &OverloadGateSettings) -> bool {
-        f64::from(self.arrived) > f64::from(self.ended) * settings.rush + 1.0
+        f64::from(self.arrived) > f64::from(self.ended) * settings.surge_ratio + 1.0
     }
 }
 
