--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -27,7 +27,7 @@
     pub bad_share: f64,
     /// Share of the parts of a late request that came in time from which on it tells of the shards
     /// that were late, and not of a lack of capacity.
-    pub few_late_parts: f64,
+    pub isolated_late_share: f64,
     /// Requests that a round needs to be judged.
     pub least_samples: u32,
     /// Factor of the limit after a bad round.
@@ -52,7 +52,7 @@
         Self {
             round: Duration::from_millis(200),
             bad_share: 0.2,
-            few_late_parts: 0.75,
+            isolated_late_share: 0.75,
             least_samples: 8,
             decrease: 0.8,
             increase: 1.05,
@@ -100,7 +100,7 @@
             Self::InTime => Some(false),
             Self::Late { parts: None } => Some(true),
             Self::Late { parts: Some((in_time, whole)) } => {
-                Some((in_time as f64) < whole as f64 * settings.few_late_parts)
+                Some((in_time as f64) < whole as f64 * settings.isolated_late_share)
             }
             Self::GivenUp => None,
         }
