--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -153,7 +153,7 @@
         let mut leaves = self.leaves.borrow_mut();
         let Leaves { directory, cold, .. } = &mut *leaves;
         for leaf in directory.leaves().values().filter(|leaf| restored.contains(&leaf.zone)) {
-            cold.chill(&leaf.identity, now.after(cold_start(&leaf.service).span()));
+            cold.mark_cold(&leaf.identity, now.after(cold_start(&leaf.service).span()));
         }
     }
 
@@ -177,7 +177,7 @@
         for leaf in changed {
             self.connections.forget_plan(&leaf.service);
             if leaf.cold_ms > 0 {
-                cold.chill(&leaf.identity, now.after(Duration::from_millis(leaf.cold_ms)));
+                cold.mark_cold(&leaf.identity, now.after(Duration::from_millis(leaf.cold_ms)));
             }
             let service = services.entry(leaf.service.clone()).or_default();
             if !service.replicas.list(now, leaf, self.distance(leaf)) {
--- a/crates/domain/src/forwarding/cold_leaves.rs
+++ b/crates/domain/src/forwarding/cold_leaves.rs
@@ -111,7 +111,7 @@
 
 impl ColdLeaves {
     /// A leaf is cold until then, unless it is known to be for longer.
-    pub fn chill(&mut self, leaf: &LeafIdentity, until: Timestamp) {
+    pub fn mark_cold(&mut self, leaf: &LeafIdentity, until: Timestamp) {
         let known = self.leaves.entry(leaf.clone());
         let cold = known.or_insert(ColdLeaf { until, next: Timestamp::ZERO });
         cold.until = cold.until.max(until);
--- a/crates/domain/tests/cold_leaves.rs
+++ b/crates/domain/tests/cold_leaves.rs
@@ -59,7 +59,7 @@
     let mut sends = Vec::new();
     for (broker, known) in all.iter().zip(known) {
         let mut cold = ColdLeaves::default();
-        cold.chill(&leaf(), at(60_000));
+        cold.mark_cold(&leaf(), at(60_000));
         let share = share(start, broker, known);
         for now in (0..20_000).step_by(10) {
             if cold.has_room(at(now), &leaf(), share) {
@@ -157,8 +157,8 @@
 fn a_warm_leaf_is_not_limited_and_a_cold_one_until_its_time_is_over() {
     let mut cold = ColdLeaves::default();
     assert!(cold.has_room(at(0), &leaf(), ColdShare::NOTHING));
-    cold.chill(&leaf(), at(3_000));
-    cold.chill(&leaf(), at(1_000));
+    cold.mark_cold(&leaf(), at(3_000));
+    cold.mark_cold(&leaf(), at(1_000));
     assert!(!cold.has_room(at(2_999), &leaf(), ColdShare::NOTHING));
     assert_eq!((cold.count(at(2_999)), cold.count(at(3_000))), (1, 0));
     assert!(cold.has_room(at(3_000), &leaf(), ColdShare::NOTHING));
