--- a/crates/control/src/cluster_task/subscribers.rs
+++ b/crates/control/src/cluster_task/subscribers.rs
@@ -13,7 +13,9 @@
 use gingerkeel_domain::directory::{DirectoryDelta, DirectoryVersion};
 use gingerkeel_domain::feed::{BrokerList, KnownBroker};
 use gingerkeel_domain::identifiers::{BrokerName, Revision, ServiceName};
-use gingerkeel_domain::leaf_warnings::{LeafObservation, LeafWarning, WarningCause, WarningFold};
+use gingerkeel_domain::leaf_warnings::{
+    LeafObservation, LeafWarning, WarningAggregator, WarningCause,
+};
 use gingerkeel_domain::quota::FleetUsage;
 use gingerkeel_domain::routes::RouteVersion;
 use gingerkeel_domain::routing::subset::BrokerEntry;
@@ -68,7 +70,7 @@
     thresholds: BTreeMap<ServiceName, u8>,
     controls: Vec<SocketAddr>,
     copies: Copies,
-    warnings: WarningFold,
+    warnings: WarningAggregator,
     /// Refusing leaves that brokers and other control processes were not told of yet.
     untold: Vec<LeafWarning>,
     findings: FindingFold,
--- a/crates/domain/src/leaf_warnings/fold.rs
+++ b/crates/domain/src/leaf_warnings/aggregator.rs
@@ -70,11 +70,11 @@
 
 /// The reports of all brokers that a control process feeds.
 #[derive(Debug, Default)]
-pub struct WarningFold {
+pub struct WarningAggregator {
     leaves: BTreeMap<LeafIdentity, Reported>,
 }
 
-impl WarningFold {
+impl WarningAggregator {
     /// A broker reports; gives the warnings that follow from it.
     pub fn report(
         &mut self,
--- a/crates/domain/src/leaf_warnings/mod.rs
+++ b/crates/domain/src/leaf_warnings/mod.rs
@@ -8,14 +8,14 @@
 //! without control each broker goes on by what it sees itself.
 //! Why so, and what else was weighed: `docs/design/leaf-warnings.md`.
 
-mod fold;
+mod aggregator;
 mod observation_log;
 
 use serde::{Deserialize, Serialize};
 
 use crate::identifiers::LeafIdentity;
 
-pub use fold::WarningFold;
+pub use aggregator::WarningAggregator;
 pub use observation_log::ObservationLog;
 
 /// What one broker saw of a leaf that was slow or failed.
--- a/crates/domain/tests/leaf_warnings.rs
+++ b/crates/domain/tests/leaf_warnings.rs
@@ -10,7 +10,7 @@
     BrokerName, LeafIdentity, ServiceName, SoftwareVersion, ZoneName,
 };
 use gingerkeel_domain::leaf_warnings::{
-    Conduct, LeafObservation, LeafWarning, ObservationLog, WarningCause, WarningFold,
+    Conduct, LeafObservation, LeafWarning, ObservationLog, WarningAggregator, WarningCause,
 };
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
@@ -38,7 +38,10 @@
 }
 
 /// The warnings after these reports of one leaf: when, by which broker, what.
-fn warnings(fold: &mut WarningFold, reports: &[(u64, &str, LeafObservation)]) -> Vec<LeafWarning> {
+fn warnings(
+    fold: &mut WarningAggregator,
+    reports: &[(u64, &str, LeafObservation)],
+) -> Vec<LeafWarning> {
     let report = |(now, broker, seen): &(u64, &str, LeafObservation)| {
         fold.report(at(*now), &BrokerName::new(broker), std::slice::from_ref(seen))
     };
@@ -52,7 +55,7 @@
 
 #[test]
 fn a_leaf_that_several_brokers_find_slow_for_a_while_is_warned_of() {
-    let warned = warnings(&mut WarningFold::default(), &slow_leaf(10_000));
+    let warned = warnings(&mut WarningAggregator::default(), &slow_leaf(10_000));
     assert_eq!(warned, [slowness(1_000)]);
 }
 
@@ -68,12 +71,12 @@
     (15_000, "b3", slow("x", &[0], 0)),
 ])]
 fn it_takes_more(#[case] reports: &[(u64, &str, LeafObservation)]) {
-    assert_eq!(warnings(&mut WarningFold::default(), reports), []);
+    assert_eq!(warnings(&mut WarningAggregator::default(), reports), []);
 }
 
 #[test]
 fn a_broker_that_reports_again_does_not_count_its_sound_answers_twice() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     let reports = [
         (10_000, "b1", slow("x", &[0], 2)),
         (10_250, "b1", slow("x", &[0], 2)),
@@ -84,16 +87,16 @@
 
 #[test]
 fn a_warning_is_not_repeated_while_it_lasts() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     warnings(&mut fold, &slow_leaf(10_000));
     assert_eq!(warnings(&mut fold, &slow_leaf(10_900)), []);
 }
 
 #[test]
 fn a_leaf_that_is_slow_again_is_warned_of_at_once_and_for_longer() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     warnings(&mut fold, &slow_leaf(10_000));
-    let again = |fold: &mut WarningFold, now| {
+    let again = |fold: &mut WarningAggregator, now| {
         let warned = warnings(fold, &[(now, "b3", slow("x", &[0], 0))]);
         warned.first().map(|warning| warning.for_ms)
     };
@@ -105,14 +108,14 @@
 
 #[test]
 fn requests_of_before_the_end_of_a_warning_do_not_renew_it() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     warnings(&mut fold, &slow_leaf(10_000));
     assert_eq!(warnings(&mut fold, &[(11_100, "b3", slow("x", &[200], 0))]), []);
 }
 
 #[test]
 fn a_broker_that_comes_is_told_what_lasts() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     warnings(&mut fold, &slow_leaf(10_000));
     let current = fold.current(at(10_400));
     assert_eq!(current, [slowness(600)]);
@@ -212,7 +215,7 @@
 
 /// What is told of leaf x after these reports of it, each by another broker.
 fn causes(reports: &[LeafObservation]) -> Vec<WarningCause> {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     let names = ["b1", "b2", "b3", "b4"];
     let reports: Vec<_> = names.into_iter().zip(reports).collect();
     let warned = reports.into_iter().flat_map(|(broker, seen)| {
@@ -238,7 +241,7 @@
 
 #[test]
 fn a_failing_leaf_that_fails_again_is_warned_of_for_longer() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     let first = [(10_000, "b1", failed("x", &[10, 20], 0)), (10_000, "b2", failed("x", &[30], 0))];
     assert_eq!(warnings(&mut fold, &first)[0].for_ms, 1_000);
     let slow_again = warnings(&mut fold, &[(11_050, "b3", slow("x", &[0], 0))]);
@@ -358,7 +361,7 @@
         let mut random = Pcg64::seed_from_u64(7);
         let mut draw = || (random.next_u32() as f64) / f64::from(u32::MAX);
         let mut brokers: Vec<Broker> = (0..BROKERS).map(broker).collect();
-        let mut fold = WarningFold::default();
+        let mut fold = WarningAggregator::default();
         let mut due: BTreeMap<u64, Vec<LeafWarning>> = BTreeMap::new();
         let (mut whole, mut all) = (0, 0);
         for now in (1_000..1_000 + SECONDS * 1_000).step_by(10) {
@@ -394,7 +397,7 @@
 #[test]
 fn a_leaf_that_refuses_is_warned_of_by_its_own_word() {
     let reports = [(10_000, "b1", refused(&[100], 0))];
-    assert_eq!(warnings(&mut WarningFold::default(), &reports), [refusal(8_000)]);
+    assert_eq!(warnings(&mut WarningAggregator::default(), &reports), [refusal(8_000)]);
 }
 
 #[rstest]
@@ -407,12 +410,12 @@
 fn a_leaf_that_is_full_for_a_moment_is_not_warned_of(
     #[case] reports: &[(u64, &str, LeafObservation)],
 ) {
-    assert_eq!(warnings(&mut WarningFold::default(), reports), []);
+    assert_eq!(warnings(&mut WarningAggregator::default(), reports), []);
 }
 
 #[test]
 fn a_leaf_that_goes_on_refusing_is_warned_of_for_longer() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     let reports = [10_000, 18_100, 34_200, 50_300].map(|now| (now, "b1", refused(&[10], 0)));
     let given = warnings(&mut fold, &reports);
     assert_eq!(given, [refusal(8_000), refusal(16_000), refusal(16_000), refusal(16_000)]);
@@ -420,7 +423,7 @@
 
 #[test]
 fn a_warning_of_another_control_process_holds_here() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     fold.adopt(at(10_000), &[refusal(1_000)]);
     assert_eq!(fold.current(at(10_400)), [refusal(600)]);
     assert_eq!(warnings(&mut fold, &[(10_500, "b1", refused(&[10], 0))]), [], "it lasts");
@@ -430,7 +433,7 @@
 
 #[test]
 fn a_shorter_warning_of_another_control_process_ends_none() {
-    let mut fold = WarningFold::default();
+    let mut fold = WarningAggregator::default();
     warnings(&mut fold, &[(10_000, "b1", refused(&[10], 0))]);
     fold.adopt(at(10_100), &[refusal(200)]);
     assert_eq!(fold.current(at(10_500)), [refusal(7_500)]);
