--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -17,7 +17,9 @@
     ExtraLoadShare, LoadReport, Outcome, ReplicaSet, ReplicaSettings,
 };
 use gingerkeel_domain::identifiers::{BrokerName, LeafIdentity, ServiceName, ZoneName};
-use gingerkeel_domain::leaf_warnings::{Conduct, LeafObservation, LeafWarning, ObservationLog};
+use gingerkeel_domain::leaf_warnings::{
+    LeafObservation, LeafWarning, ObservationLog, ObservedOutcome,
+};
 use gingerkeel_domain::time::Timestamp;
 use gingerkeel_settings::{BrokerSettings, RouteSettings};
 use gingerkeel_transport::Clock;
@@ -314,12 +316,12 @@
 
     /// In a request that began then, a leaf did so as measured by the other leaves of the request. That one of
     /// another region is slow is not reported: distance may be the cause.
-    pub fn observe(&self, leaf: &LeafIdentity, began: Timestamp, conduct: Conduct) {
+    pub fn observe(&self, leaf: &LeafIdentity, began: Timestamp, conduct: ObservedOutcome) {
         let leaves = self.leaves.borrow();
         let Some(listed) = leaves.directory.leaves().get(leaf) else {
             return;
         };
-        let by_distance = !matches!(conduct, Conduct::Failed | Conduct::Refused);
+        let by_distance = !matches!(conduct, ObservedOutcome::Failed | ObservedOutcome::Refused);
         if !by_distance || self.distance(listed) != Distance::Far {
             self.observations.borrow_mut().observe(self.clock.now(), leaf, began, conduct);
         }
--- a/crates/broker/src/routes/trail.rs
+++ b/crates/broker/src/routes/trail.rs
@@ -10,7 +10,7 @@
 use gingerkeel_domain::crash_suspects::Caution;
 use gingerkeel_domain::forwarding::{AttemptError, LoadReport, NoLeafReason};
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
-use gingerkeel_domain::leaf_warnings::Conduct;
+use gingerkeel_domain::leaf_warnings::ObservedOutcome;
 use gingerkeel_domain::routes::RouteVersion;
 use tracing::info;
 use xxhash_rust::xxh3::xxh3_64;
@@ -90,7 +90,7 @@
     /// When it was asked.
     pub began: Instant,
     /// What it did.
-    pub conduct: Conduct,
+    pub conduct: ObservedOutcome,
 }
 
 /// What a request ended with.
@@ -270,19 +270,19 @@
         Some(Judgement { leaf: self.leaf.clone(), began: self.began, conduct })
     }
 
-    fn conduct(&self, slow_after: Option<Duration>) -> Option<Conduct> {
+    fn conduct(&self, slow_after: Option<Duration>) -> Option<ObservedOutcome> {
         let outcome = self.ended.as_ref().map(|ended| ended.outcome);
         if outcome.is_some_and(|outcome| FAILED.contains(&outcome)) {
-            return Some(Conduct::Failed);
+            return Some(ObservedOutcome::Failed);
         }
         if outcome == Some(REJECTED) {
-            return Some(Conduct::Refused);
+            return Some(ObservedOutcome::Refused);
         }
         let slow_after = slow_after.filter(|_| self.reason == AskReason::First)?;
         let took = self.ended.as_ref().map_or_else(|| self.began.elapsed(), |ended| ended.took);
         match outcome {
-            _ if took > slow_after => Some(Conduct::Slow),
-            Some(ANSWERED) => Some(Conduct::Sound),
+            _ if took > slow_after => Some(ObservedOutcome::Slow),
+            Some(ANSWERED) => Some(ObservedOutcome::Sound),
             _ => None,
         }
     }
--- a/crates/domain/src/leaf_warnings/mod.rs
+++ b/crates/domain/src/leaf_warnings/mod.rs
@@ -35,7 +35,7 @@
 
 /// How a leaf did in one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conduct {
+pub enum ObservedOutcome {
     /// It answered about as soon as the leaves of the other shards.
     Sound,
     /// It took far longer than they did.
--- a/crates/domain/src/leaf_warnings/observation_log.rs
+++ b/crates/domain/src/leaf_warnings/observation_log.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Conduct, LeafObservation};
+use super::{LeafObservation, ObservedOutcome};
 use crate::identifiers::LeafIdentity;
 use crate::time::Timestamp;
 
@@ -48,7 +48,7 @@
         now: Timestamp,
         leaf: &LeafIdentity,
         began: Timestamp,
-        conduct: Conduct,
+        conduct: ObservedOutcome,
     ) {
         self.rotate(now);
         if !self.leaves.contains_key(leaf) {
@@ -58,13 +58,13 @@
             return;
         };
         let told = match conduct {
-            Conduct::Sound => {
+            ObservedOutcome::Sound => {
                 seen.sound[0] += 1;
                 return;
             }
-            Conduct::Slow => &mut seen.slow,
-            Conduct::Failed => &mut seen.failed,
-            Conduct::Refused => &mut seen.refused,
+            ObservedOutcome::Slow => &mut seen.slow,
+            ObservedOutcome::Failed => &mut seen.failed,
+            ObservedOutcome::Refused => &mut seen.refused,
         };
         if told.len() < TOLD_REQUESTS {
             told.push(began);
--- a/crates/domain/tests/leaf_warnings.rs
+++ b/crates/domain/tests/leaf_warnings.rs
@@ -10,7 +10,7 @@
     BrokerName, LeafIdentity, ServiceName, SoftwareVersion, ZoneName,
 };
 use gingerkeel_domain::leaf_warnings::{
-    Conduct, LeafObservation, LeafWarning, ObservationLog, WarningAggregator, WarningCause,
+    LeafObservation, LeafWarning, ObservationLog, ObservedOutcome, WarningAggregator, WarningCause,
 };
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
@@ -125,14 +125,14 @@
 #[test]
 fn a_report_tells_each_slow_request_once_with_the_sound_answers_of_the_last_seconds() {
     let mut log = ObservationLog::default();
-    log.observe(at(1_000), &leaf("x"), at(980), Conduct::Sound);
-    log.observe(at(1_100), &leaf("x"), at(1_000), Conduct::Slow);
-    log.observe(at(1_100), &leaf("y"), at(1_000), Conduct::Sound);
+    log.observe(at(1_000), &leaf("x"), at(980), ObservedOutcome::Sound);
+    log.observe(at(1_100), &leaf("x"), at(1_000), ObservedOutcome::Slow);
+    log.observe(at(1_100), &leaf("y"), at(1_000), ObservedOutcome::Sound);
     assert_eq!(log.take(at(1_200)), [slow("x", &[200], 1)]);
     assert_eq!(log.take(at(1_300)), []);
-    log.observe(at(2_200), &leaf("x"), at(2_150), Conduct::Slow);
+    log.observe(at(2_200), &leaf("x"), at(2_150), ObservedOutcome::Slow);
     assert_eq!(log.take(at(2_200)), [slow("x", &[50], 1)], "the second before counts as well");
-    log.observe(at(4_500), &leaf("x"), at(4_400), Conduct::Slow);
+    log.observe(at(4_500), &leaf("x"), at(4_400), ObservedOutcome::Slow);
     assert_eq!(log.take(at(4_500)), [slow("x", &[100], 0)], "what is older does not");
 }
 
@@ -141,7 +141,12 @@
     let mut log = ObservationLog::default();
     for number in 0..200 {
         for _ in 0..20 {
-            log.observe(at(1_000), &leaf(&format!("leaf-{number}")), at(900), Conduct::Slow);
+            log.observe(
+                at(1_000),
+                &leaf(&format!("leaf-{number}")),
+                at(900),
+                ObservedOutcome::Slow,
+            );
         }
     }
     let report = log.take(at(1_000));
@@ -345,7 +350,7 @@
                     false => Outcome::Answered(Duration::from_millis(30)),
                 };
                 shard.finish(at(now), &settings, &choice.leaf, outcome);
-                let conduct = if lost { Conduct::Failed } else { Conduct::Sound };
+                let conduct = if lost { ObservedOutcome::Failed } else { ObservedOutcome::Sound };
                 broker.log.observe(at(now), &choice.leaf, at(now), conduct);
                 tried.push(choice.leaf);
                 if !lost {
