--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use gingerkeel_domain::forwarding::{
-    AnswerMargin, Candidate, DeliveryTime, PlannedStop, SplitTurns,
+    AnswerMargin, Candidate, DeliveryTime, PlannedStop, SplitSequence,
 };
 use gingerkeel_domain::identifiers::{ServiceName, ZoneName};
 use gingerkeel_domain::rollout::Rollouts;
@@ -73,7 +73,7 @@
     table: RefCell<Option<Rc<RouteTable>>>,
     latencies: RefCell<BTreeMap<String, LatencyWindow>>,
     /// Turns of each route that splits its requests.
-    splits: RefCell<BTreeMap<String, SplitTurns>>,
+    splits: RefCell<BTreeMap<String, SplitSequence>>,
     fresh_until: Cell<Timestamp>,
     stop: Cell<Option<PlannedStop>>,
     /// Given once a configuration and a list of leaves are in force.
@@ -238,7 +238,7 @@
         let mut splits = self.splits.borrow_mut();
         let turns = splits
             .entry(route.name.clone())
-            .or_insert_with(|| SplitTurns::starting_at(self.random.borrow_mut().random()));
+            .or_insert_with(|| SplitSequence::starting_at(self.random.borrow_mut().random()));
         turns.next(parts).map(|part| part.service.clone())
     }
 
--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -42,5 +42,5 @@
 pub use replica_set::{
     Choice, Connectivity, MissingLeaves, ReplicaSet, ReplicaSettings, Selection,
 };
-pub use split::SplitTurns;
+pub use split::SplitSequence;
 pub use tenant_shares::{SharingTenant, TenantShares};
--- a/crates/domain/src/forwarding/split.rs
+++ b/crates/domain/src/forwarding/split.rs
@@ -13,11 +13,11 @@
 
 /// Where a broker stands on the circle.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SplitTurns {
+pub struct SplitSequence {
     position: u64,
 }
 
-impl SplitTurns {
+impl SplitSequence {
     /// Turns that begin at another place for each `start`.
     pub fn starting_at(start: u64) -> Self {
         Self { position: start }
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -7,7 +7,7 @@
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::forwarding::{
     Connectivity, Distance, Exclusion, GreatestRecords, NoLeafReason, Outcome, RECORD_BYTES,
-    ReplicaSet, ReplicaSettings, Selection, SharingBrokers, SplitTurns, connection_share,
+    ReplicaSet, ReplicaSettings, Selection, SharingBrokers, SplitSequence, connection_share,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::routes::WeightedService;
@@ -321,7 +321,7 @@
         };
         let parts: Vec<WeightedService> = weights.iter().enumerate().map(part).collect();
         let total: u64 = weights.iter().sum();
-        let mut split = SplitTurns::starting_at(start);
+        let mut split = SplitSequence::starting_at(start);
         let mut taken = vec![0u64; parts.len()];
         for _ in 0..turns {
             let chosen = split.next(&parts).map(|part| part.service.clone());
@@ -426,7 +426,7 @@
     let mut random = Pcg64::new(7, 7);
     let mut taken = vec![0usize; parts.len()];
     for _ in 0..BROKERS {
-        let mut turns = SplitTurns::starting_at(random.next_u64());
+        let mut turns = SplitSequence::starting_at(random.next_u64());
         for _ in 0..requests {
             let chosen = turns.next(&parts).expect("a part").service.clone();
             taken[parts.iter().position(|part| part.service == chosen).expect("a known part")] += 1;
