--- a/crates/broker/src/routes/dialect.rs
+++ b/crates/broker/src/routes/dialect.rs
@@ -1,6 +1,6 @@
 //! Names of the header fields that callers, leaves and a broker exchange besides HTTP's own.
 
-use gingerkeel_domain::forwarding::{LoadReport, USUAL_PACE};
+use gingerkeel_domain::forwarding::{LoadReport, NOMINAL_PACE_PERCENT};
 
 /// Names of header fields, in lower case.
 #[derive(Debug, Clone)]
@@ -56,6 +56,6 @@
     let mut figures = text.split(',').map(|figure| figure.trim().parse().ok());
     let mut next = || figures.next().flatten();
     let (running, waiting, slots) = (next()?, next()?, next()?);
-    let pace_percent = figures.next().map_or(Some(USUAL_PACE), |pace| pace)?;
+    let pace_percent = figures.next().map_or(Some(NOMINAL_PACE_PERCENT), |pace| pace)?;
     Some(LoadReport { running, waiting, slots, pace_percent })
 }
--- a/crates/broker/src/routes/route_metrics.rs
+++ b/crates/broker/src/routes/route_metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and latencies of the serving of routes, in bounded memory.
 
-use gingerkeel_domain::forwarding::{LoadReport, USUAL_PACE};
+use gingerkeel_domain::forwarding::{LoadReport, NOMINAL_PACE_PERCENT};
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -194,7 +194,7 @@
     pub fn load_reported(&self, report: LoadReport) {
         let load = match report {
             LoadReport { waiting: 1.., .. } => "queued",
-            LoadReport { pace_percent, .. } if pace_percent > USUAL_PACE => "disturbed",
+            LoadReport { pace_percent, .. } if pace_percent > NOMINAL_PACE_PERCENT => "disturbed",
             _ => "usual",
         };
         self.load_reports.get_or_create(&LoadLabels { load }).inc();
--- a/crates/domain/src/forwarding/load_report.rs
+++ b/crates/domain/src/forwarding/load_report.rs
@@ -6,7 +6,7 @@
 use crate::time::Timestamp;
 
 /// What work takes on a machine that nothing else disturbs, in percent.
-pub const USUAL_PACE: u32 = 100;
+pub const NOMINAL_PACE_PERCENT: u32 = 100;
 /// Age after which a report says nothing any more: what else runs on the machine changes many times a
 /// second, and a queue of some requests is worked off by then.
 const REPORT_LIFE: Duration = Duration::from_millis(200);
--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -34,7 +34,7 @@
 pub use extra_load::{ExtraLoadBudget, ExtraLoadSettings, ExtraLoadShare};
 pub use gathering::{GatherStep, GatherTimes, Gathering};
 pub use greatest::{GreatestRecords, RECORD_BYTES};
-pub use load_report::{LoadReport, ObservedLoad, USUAL_PACE};
+pub use load_report::{LoadReport, NOMINAL_PACE_PERCENT, ObservedLoad};
 pub use misdirected::MisdirectedRequests;
 pub use overload::{AdmissionDecision, OverloadGate, OverloadGateSettings, RequestOutcome};
 pub use planned_stop::PlannedStop;
