--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -40,7 +40,7 @@
 pub use planned_stop::PlannedStop;
 pub use replica::{Distance, Outcome};
 pub use replica_set::{
-    Choice, Connectivity, MissingLeaves, ReplicaSet, ReplicaSettings, Selection,
+    Choice, Connectivity, ReplicaSet, ReplicaSettings, Selection, UnresponsiveLeaves,
 };
 pub use split::SplitSequence;
 pub use tenant_shares::{SharingTenant, TenantShares};
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -137,7 +137,7 @@
 
 /// Leaves that have missed, by what to do about them.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct MissingLeaves {
+pub struct UnresponsiveLeaves {
     /// A connection is to be opened to each, to learn whether it is there.
     pub to_check: Vec<LeafIdentity>,
     /// They are presumed to have ended from now on.
@@ -263,8 +263,8 @@
         &mut self,
         now: Timestamp,
         settings: &ReplicaSettings,
-    ) -> MissingLeaves {
-        let mut found = MissingLeaves::default();
+    ) -> UnresponsiveLeaves {
+        let mut found = UnresponsiveLeaves::default();
         let replicas = &mut self.replicas;
         self.missing.retain(|leaf| {
             let replica = replicas.get_mut(leaf).filter(|replica| !replica.is_address_taken());
