--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -454,7 +454,7 @@
         let Leaves { directory, services, .. } = &mut *leaves;
         let mut to_check = Vec::new();
         for (name, service) in services.iter_mut() {
-            let missing = service.replicas.look_after_missing(now, &self.replica_settings);
+            let missing = service.replicas.check_unresponsive(now, &self.replica_settings);
             for leaf in missing.presumed_ended {
                 info!(event = "leaf_presumed_ended", service = %name, %leaf);
             }
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -259,7 +259,7 @@
     }
 
     /// What to do about the leaves that have missed.
-    pub fn look_after_missing(
+    pub fn check_unresponsive(
         &mut self,
         now: Timestamp,
         settings: &ReplicaSettings,
--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -131,7 +131,7 @@
 fn a_leaf_that_has_missed_is_looked_after() {
     let mut set = two_leaves();
     let look = |set: &mut ReplicaSet, milliseconds| {
-        let found = set.look_after_missing(at(milliseconds), &ReplicaSettings::default());
+        let found = set.check_unresponsive(at(milliseconds), &ReplicaSettings::default());
         (found.to_check.len(), found.presumed_ended.len())
     };
     see(&mut set, 0, "near", Seen::Replies);
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -86,7 +86,7 @@
     pub fn leaves_to_check(&mut self, now: Timestamp) -> Vec<LeafIdentity> {
         let settings = &self.replica_settings;
         let replicas = self.replicas.values_mut();
-        replicas.flat_map(|known| known.look_after_missing(now, settings).to_check).collect()
+        replicas.flat_map(|known| known.check_unresponsive(now, settings).to_check).collect()
     }
 
     /// What came of such a connection.
