--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -355,7 +355,9 @@
 
     /// An attempt has waited longer than expected.
     pub fn late(&self, service: &ServiceName, leaf: &LeafIdentity) {
-        self.with_replicas(service, |replicas, now, settings| replicas.late(now, settings, leaf));
+        self.with_replicas(service, |replicas, now, settings| {
+            replicas.mark_late(now, settings, leaf)
+        });
     }
 
     /// An attempt got no answer at all.
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -280,7 +280,7 @@
     }
 
     /// An attempt has waited longer than expected.
-    pub fn late(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
+    pub fn mark_late(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.mark_late(now, settings);
             self.missing.insert(leaf.clone());
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -106,7 +106,7 @@
 fn a_connection_to_a_sound_leaf_is_waited_for_rather_than_a_late_one_asked() {
     let mut set = three_leaves();
     set.begin(&identity("far-1"));
-    set.late(at(0), &ReplicaSettings::default(), &identity("far-1"));
+    set.mark_late(at(0), &ReplicaSettings::default(), &identity("far-1"));
     let Selection::Wait { otherwise } = select(&set, at(10), &[], only("far-1")) else {
         panic!("a sound leaf is worth waiting for");
     };
@@ -118,7 +118,7 @@
 fn a_sound_leaf_that_has_a_connection_is_not_passed_over_for_a_late_one_without() {
     let mut set = three_leaves();
     set.begin(&identity("near"));
-    set.late(at(0), &ReplicaSettings::default(), &identity("near"));
+    set.mark_late(at(0), &ReplicaSettings::default(), &identity("near"));
     assert_eq!(asked(&select(&set, at(10), &[], only("far-1"))).as_deref(), Some("far-1"));
 }
 
@@ -157,7 +157,7 @@
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     set.begin(&identity("near"));
-    set.late(at(50), &settings, &identity("near"));
+    set.mark_late(at(50), &settings, &identity("near"));
     assert_ne!(chosen(&set, at(60), &[]).as_deref(), Some("near"));
     set.finish(at(70), &settings, &identity("near"), Outcome::Answered(Duration::from_millis(70)));
     assert_eq!(chosen(&set, at(71), &[]).as_deref(), Some("near"));
@@ -168,7 +168,7 @@
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     set.begin(&identity("near"));
-    set.late(at(0), &settings, &identity("near"));
+    set.mark_late(at(0), &settings, &identity("near"));
     set.finish(at(10), &settings, &identity("near"), Outcome::Abandoned(Duration::ZERO));
     let over = at(11).after(settings.suspicion);
     assert_eq!(chosen(&set, over, &[]).as_deref(), Some("near"));
@@ -186,7 +186,7 @@
         if chosen(&set, at(now), &[]).as_deref() == Some("near") {
             tries += 1;
             set.begin(&identity("near"));
-            set.late(at(now), &settings, &identity("near"));
+            set.mark_late(at(now), &settings, &identity("near"));
             answered(&mut set, at(now), "far-1", 50);
             let slow = Outcome::Answered(Duration::from_millis(270));
             set.finish(at(now), &settings, &identity("near"), slow);
@@ -201,7 +201,7 @@
     let mut set = three_leaves();
     for now in 0..10 {
         set.begin(&identity("near"));
-        set.late(at(now), &settings, &identity("near"));
+        set.mark_late(at(now), &settings, &identity("near"));
     }
     for now in 10..20 {
         let outcome = Outcome::Abandoned(Duration::ZERO);
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -428,7 +428,7 @@
         }
         let replicas = self.replicas.get_mut(&asked.service);
         if let (Some(replicas), Some(leaf)) = (replicas, asked.attempts.newest_open()) {
-            replicas.late(now, &self.replica_settings, leaf);
+            replicas.mark_late(now, &self.replica_settings, leaf);
         }
         self.ask(now, number, request, part, true, actions);
     }
