--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -362,7 +362,9 @@
 
     /// An attempt got no answer at all.
     pub fn silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
-        self.with_replicas(service, |replicas, now, settings| replicas.silent(now, settings, leaf));
+        self.with_replicas(service, |replicas, now, settings| {
+            replicas.mark_silent(now, settings, leaf)
+        });
     }
 
     /// A leaf said on an answer how loaded it is.
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -288,7 +288,7 @@
     }
 
     /// An attempt got no answer in the whole time that it had.
-    pub fn silent(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
+    pub fn mark_silent(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.mark_silent(now, settings);
             self.missing.insert(leaf.clone());
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -534,7 +534,7 @@
                 let settings = &self.replica_settings;
                 replicas.finish(now, settings, &leaf, Outcome::Abandoned(waited));
                 if waited >= silent {
-                    replicas.silent(now, settings, &leaf);
+                    replicas.mark_silent(now, settings, &leaf);
                 }
             }
             release(&mut self.in_use, &leaf);
