--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -369,7 +369,7 @@
 
     /// A leaf said on an answer how loaded it is.
     pub fn reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
-        self.with_replicas(service, |replicas, now, _| replicas.reported(now, leaf, report));
+        self.with_replicas(service, |replicas, now, _| replicas.record_load(now, leaf, report));
     }
 
     /// The load that a leaf reported lately.
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -320,7 +320,7 @@
     }
 
     /// A leaf said on an answer how loaded it is.
-    pub fn reported(&mut self, now: Timestamp, leaf: &LeafIdentity, report: LoadReport) {
+    pub fn record_load(&mut self, now: Timestamp, leaf: &LeafIdentity, report: LoadReport) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.load.observe(now, report);
         }
