--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -439,7 +439,7 @@
     /// Somebody took a connection at a leaf's address.
     pub fn took_connection(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, now, settings| {
-            replicas.took_connection(now, settings, &leaf.identity);
+            replicas.record_connection_accepted(now, settings, &leaf.identity);
         });
     }
 
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -240,7 +240,7 @@
     }
 
     /// Somebody took a connection at a leaf's address.
-    pub fn took_connection(
+    pub fn record_connection_accepted(
         &mut self,
         now: Timestamp,
         settings: &ReplicaSettings,
--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -61,7 +61,7 @@
         Seen::Fails => Outcome::Failed,
         Seen::RefusesConnection => Outcome::ConnectionRefused,
         Seen::IsLate => return set.mark_late(now, &settings, &identity),
-        Seen::TakesConnection => return set.took_connection(now, &settings, &identity),
+        Seen::TakesConnection => return set.record_connection_accepted(now, &settings, &identity),
         Seen::TakesNoConnectionOfACheck => return set.refused_connection(&identity),
     };
     set.begin(&identity);
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -93,7 +93,7 @@
     pub fn checked(&mut self, now: Timestamp, service: usize, leaf: &LeafIdentity, taken: bool) {
         let settings = &self.replica_settings;
         match self.replicas.get_mut(&service) {
-            Some(replicas) if taken => replicas.took_connection(now, settings, leaf),
+            Some(replicas) if taken => replicas.record_connection_accepted(now, settings, leaf),
             Some(replicas) => replicas.refused_connection(leaf),
             None => {}
         }
