--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -446,7 +446,7 @@
     /// Nobody listens at a leaf's address.
     pub fn refused_connection(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, _, _| {
-            replicas.refused_connection(&leaf.identity);
+            replicas.record_connection_refused(&leaf.identity);
         });
     }
 
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -252,7 +252,7 @@
     }
 
     /// Nobody listens at a leaf's address.
-    pub fn refused_connection(&mut self, leaf: &LeafIdentity) {
+    pub fn record_connection_refused(&mut self, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.life.refused_connection();
         }
--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -62,7 +62,7 @@
         Seen::RefusesConnection => Outcome::ConnectionRefused,
         Seen::IsLate => return set.mark_late(now, &settings, &identity),
         Seen::TakesConnection => return set.record_connection_accepted(now, &settings, &identity),
-        Seen::TakesNoConnectionOfACheck => return set.refused_connection(&identity),
+        Seen::TakesNoConnectionOfACheck => return set.record_connection_refused(&identity),
     };
     set.begin(&identity);
     set.finish(now, &settings, &identity, outcome);
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -94,7 +94,7 @@
         let settings = &self.replica_settings;
         match self.replicas.get_mut(&service) {
             Some(replicas) if taken => replicas.record_connection_accepted(now, settings, leaf),
-            Some(replicas) => replicas.refused_connection(leaf),
+            Some(replicas) => replicas.record_connection_refused(leaf),
             None => {}
         }
     }
