--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -324,7 +324,7 @@
             unobserved: Duration::from_millis(self.settings.first_delivery_ms.into()),
             most: Duration::from_millis(self.settings.longest_answer_margin_ms.into()),
         };
-        margin.soft_moment(received, target, &self.delivery.get())
+        margin.soft_deadline(received, target, &self.delivery.get())
     }
 
     /// The latency that this share of the answers of a route keeps to, if enough are known.
--- a/crates/domain/src/forwarding/delivery.rs
+++ b/crates/domain/src/forwarding/delivery.rs
@@ -63,7 +63,7 @@
 
 impl AnswerMargin {
     /// When an answer is finished that should be with its caller `target` after it was `received`.
-    pub fn soft_moment(
+    pub fn soft_deadline(
         &self,
         received: Timestamp,
         target: Duration,
--- a/crates/domain/tests/delivery.rs
+++ b/crates/domain/tests/delivery.rs
@@ -20,7 +20,7 @@
 fn finished_at(took_ms: &[u64]) -> u64 {
     let mut delivery = DeliveryTime::default();
     took_ms.iter().for_each(|took| delivery.observe(Duration::from_millis(*took)));
-    margin().soft_moment(Timestamp::ZERO, TARGET, &delivery).as_micros() / 1_000
+    margin().soft_deadline(Timestamp::ZERO, TARGET, &delivery).as_micros() / 1_000
 }
 
 #[rstest]
@@ -49,5 +49,5 @@
 fn a_target_shorter_than_the_margin_is_met_at_once() {
     let delivery = DeliveryTime::default();
     let received = Timestamp::from_micros(5_000_000);
-    assert_eq!(margin().soft_moment(received, Duration::from_millis(10), &delivery), received);
+    assert_eq!(margin().soft_deadline(received, Duration::from_millis(10), &delivery), received);
 }
