--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -199,7 +199,7 @@
         };
         let target = Duration::from_millis(route.target_latency_ms);
         let measured = self.latency(route, STOP_QUANTILE).unwrap_or_default();
-        stop.takes(self.now(), target.max(measured))
+        stop.accepts(self.now(), target.max(measured))
     }
 
     /// Puts a configuration in force, unless one of this or a higher version is.
--- a/crates/domain/src/forwarding/planned_stop.rs
+++ b/crates/domain/src/forwarding/planned_stop.rs
@@ -34,7 +34,7 @@
 
     /// Whether a request that comes now, and is expected to take so long, is taken on: it has to end
     /// in time even where it takes longer than expected.
-    pub fn takes(&self, now: Timestamp, expected: Duration) -> bool {
+    pub fn accepts(&self, now: Timestamp, expected: Duration) -> bool {
         now.after(expected * LATE_FACTOR) <= self.answers_by()
     }
 
--- a/crates/domain/tests/planned_stop.rs
+++ b/crates/domain/tests/planned_stop.rs
@@ -27,7 +27,7 @@
 ) {
     let stop = PlannedStop::begin(BEGAN, LENGTH);
     let now = at(Duration::from_millis(after));
-    assert_eq!(stop.takes(now, Duration::from_millis(expected)), taken);
+    assert_eq!(stop.accepts(now, Duration::from_millis(expected)), taken);
 }
 
 #[rstest]
