--- a/crates/broker/src/routes/gather.rs
+++ b/crates/broker/src/routes/gather.rs
@@ -61,7 +61,7 @@
 
     fn take(&mut self, state: &RouteState, outcome: Option<LeafReply>) {
         let attested = outcome.and_then(|reply| Some((attestation(state, &reply)?, reply)));
-        self.gathering.part(state.clock.now(), attested.is_some());
+        self.gathering.record_part(state.clock.now(), attested.is_some());
         if let Some((attestation, reply)) = attested {
             self.attestations.push(attestation);
             self.records.add(&reply.body);
--- a/crates/domain/src/forwarding/gathering.rs
+++ b/crates/domain/src/forwarding/gathering.rs
@@ -60,7 +60,7 @@
     }
 
     /// A part has come, or will not come.
-    pub fn part(&mut self, now: Timestamp, came: bool) {
+    pub fn record_part(&mut self, now: Timestamp, came: bool) {
         if !came {
             self.failed += 1;
             return;
--- a/crates/domain/tests/gathering.rs
+++ b/crates/domain/tests/gathering.rs
@@ -17,8 +17,8 @@
 
 fn with_parts(present: usize, failed: usize) -> Gathering {
     let mut gathering = gathering();
-    (0..present).for_each(|_| gathering.part(at(20), true));
-    (0..failed).for_each(|_| gathering.part(at(20), false));
+    (0..present).for_each(|_| gathering.record_part(at(20), true));
+    (0..failed).for_each(|_| gathering.record_part(at(20), false));
     gathering
 }
 
@@ -44,7 +44,7 @@
 fn the_missing_parts_are_overdue_once_most_are_in_and_a_little_more_has_passed() {
     let mut gathering = with_parts(5, 0);
     assert_eq!(gathering.step(at(20)), GatherStep::WaitUntil(at(100)));
-    gathering.part(at(40), true);
+    gathering.record_part(at(40), true);
     // 40 ms, 0.3 of it and 6 ms.
     assert_eq!(gathering.step(at(40)), GatherStep::WaitUntil(at(58)));
     assert!(!gathering.is_overdue(at(57)) && gathering.is_overdue(at(58)));
@@ -54,7 +54,7 @@
 #[test]
 fn parts_that_come_after_the_soft_time_count_for_the_answer_and_not_as_in_time() {
     let mut gathering = with_parts(7, 0);
-    gathering.part(at(300), true);
+    gathering.record_part(at(300), true);
     assert_eq!(gathering.in_time(), (7, 10));
     assert_eq!(gathering.missing(), 2);
     assert!(gathering.reaches_least_share());
@@ -85,6 +85,6 @@
 ) {
     let times = GatherTimes { received: at(0), soft: at(100), deadline: at(1_000) };
     let mut gathering = Gathering::new(10, PartsPerMillion(least_share), times);
-    (0..given_up).for_each(|_| gathering.part(at(1), false));
+    (0..given_up).for_each(|_| gathering.record_part(at(1), false));
     assert_eq!(gathering.spare(), spare);
 }
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -314,7 +314,7 @@
         request.parts[part].came = Some(came);
         if let Some(gathering) = &mut request.gathering {
             let counts = came || self.mutant == Some(Mutant::FailedPartsCount);
-            gathering.part(now, counts);
+            gathering.record_part(now, counts);
         }
         self.give_up_attempts(now, number, request, part, actions);
     }
