--- a/crates/domain/src/forwarding/replica.rs
+++ b/crates/domain/src/forwarding/replica.rs
@@ -263,7 +263,7 @@
         let Some(latency) = self.latency else {
             return ordinary;
         };
-        let age = now.since(self.observed).as_secs_f64() / settings.memory.as_secs_f64();
+        let age = now.since(self.observed).as_secs_f64() / settings.observation_decay.as_secs_f64();
         ordinary.min(latency) + (latency - ordinary).max(0.0) * (-age).exp()
     }
 
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -34,7 +34,7 @@
     /// Latency that is assumed of a service of which nothing is known.
     pub ordinary_latency: Duration,
     /// Time after which an observation counts little.
-    pub memory: Duration,
+    pub observation_decay: Duration,
     /// What another zone of the region costs.
     pub region_cost: Duration,
     /// What another region costs.
@@ -59,7 +59,7 @@
     fn default() -> Self {
         Self {
             ordinary_latency: Duration::from_millis(30),
-            memory: Duration::from_secs(2),
+            observation_decay: Duration::from_secs(2),
             region_cost: Duration::from_millis(10),
             far_cost: Duration::from_millis(60),
             opening: [Duration::from_millis(3), Duration::from_millis(30)],
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -233,7 +233,7 @@
         answered(&mut set, at(0), "near", 250);
     }
     assert_ne!(chosen(&set, at(1), &[]).as_deref(), Some("near"));
-    let later = at(1).after(settings.memory * 5);
+    let later = at(1).after(settings.observation_decay * 5);
     assert_eq!(chosen(&set, later, &[]).as_deref(), Some("near"));
 }
 
