--- a/crates/domain/src/forwarding/replica.rs
+++ b/crates/domain/src/forwarding/replica.rs
@@ -278,7 +278,8 @@
         let known = self.known_latency(now, settings, ordinary);
         let waiting = (self.in_flight + 1).saturating_sub(self.slots);
         let queue = 1.0 + f64::from(waiting) / f64::from(self.slots);
-        let share = 1.0 + f64::from(self.in_flight) / f64::from(self.slots) * settings.spread;
+        let share =
+            1.0 + f64::from(self.in_flight) / f64::from(self.slots) * settings.in_flight_weight;
         known * queue * share + settings.distance_cost(self.distance).as_secs_f64()
     }
 
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -42,7 +42,7 @@
     /// What a new connection costs in the own zone, and to another region.
     pub opening: [Duration; 2],
     /// How much occupied slots count.
-    pub spread: f64,
+    pub in_flight_weight: f64,
     /// Time for which a failing leaf is left out at first.
     pub ejection: Duration,
     /// Time for which a leaf that owes an answer is asked last, at first.
@@ -63,7 +63,7 @@
             region_cost: Duration::from_millis(10),
             far_cost: Duration::from_millis(60),
             opening: [Duration::from_millis(3), Duration::from_millis(30)],
-            spread: 0.5,
+            in_flight_weight: 0.5,
             ejection: Duration::from_millis(500),
             suspicion: Duration::from_millis(300),
             rejection_pause: Duration::from_millis(100),
