--- a/crates/domain/src/forwarding/replica.rs
+++ b/crates/domain/src/forwarding/replica.rs
@@ -293,7 +293,7 @@
     ) -> f64 {
         match connectivity {
             Connectivity::Idle => 0.0,
-            Connectivity::Openable => settings.opening_cost(self.distance),
+            Connectivity::Openable => settings.connect_cost(self.distance),
             Connectivity::Exhausted => ordinary / f64::from(self.in_flight.max(1)),
         }
     }
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -40,7 +40,7 @@
     /// What another region costs.
     pub far_cost: Duration,
     /// What a new connection costs in the own zone, and to another region.
-    pub opening: [Duration; 2],
+    pub connect_cost: [Duration; 2],
     /// How much occupied slots count.
     pub in_flight_weight: f64,
     /// Time for which a failing leaf is left out at first.
@@ -62,7 +62,7 @@
             observation_decay: Duration::from_secs(2),
             region_cost: Duration::from_millis(10),
             far_cost: Duration::from_millis(60),
-            opening: [Duration::from_millis(3), Duration::from_millis(30)],
+            connect_cost: [Duration::from_millis(3), Duration::from_millis(30)],
             in_flight_weight: 0.5,
             ejection: Duration::from_millis(500),
             suspicion: Duration::from_millis(300),
@@ -74,8 +74,8 @@
 }
 
 impl ReplicaSettings {
-    pub(super) fn opening_cost(&self, distance: Distance) -> f64 {
-        let [near, far] = self.opening;
+    pub(super) fn connect_cost(&self, distance: Distance) -> f64 {
+        let [near, far] = self.connect_cost;
         match distance {
             Distance::Far => far.as_secs_f64(),
             Distance::Zone | Distance::Region => near.as_secs_f64(),
