--- a/crates/domain/src/forwarding/admission_queue.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -41,7 +41,7 @@
 
 impl AdmissionQueue {
     /// A request comes, whether it is to wait or not.
-    pub fn came(&mut self, now: Timestamp, candidate: &Candidate) {
+    pub fn record_arrival(&mut self, now: Timestamp, candidate: &Candidate) {
         self.shares.arrived(now, candidate.rank, candidate.tenant);
     }
 
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -209,7 +209,7 @@
         candidate: Candidate,
     ) -> AdmissionDecision {
         self.round.arrived += 1;
-        self.line.came(now, &candidate);
+        self.line.record_arrival(now, &candidate);
         if self.may_begin(settings, candidate.rank) {
             self.begin(&candidate);
             return AdmissionDecision::Admitted;
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -237,10 +237,10 @@
         (waiting(RANK, Some(tenant(20, 10))), |number| waiting(RANK, Some(tenant(number, 1))));
     for tenth in 0..until_s * 10 {
         let now = at(tenth * 100);
-        line.came(now, &large);
+        line.record_arrival(now, &large);
         if tenth % 10 == 0 {
             let small = other((tenth / 10 % 20) as usize);
-            line.came(now, &small);
+            line.record_arrival(now, &small);
             line.begun(&small);
         }
         if [0, 7, 13].contains(&(tenth % 20)) {
@@ -258,10 +258,10 @@
     let mut line = busy_line(seconds);
     let now = at(seconds * 1_000);
     let (rare, large) = (waiting(RANK, Some(tenant(7, 1))), waiting(RANK, Some(tenant(20, 10))));
-    line.came(now, &rare);
+    line.record_arrival(now, &rare);
     let ticket = line.join(rare);
     for _ in 0..50 {
-        line.came(now, &large);
+        line.record_arrival(now, &large);
         line.join(large);
     }
     assert!(line.goes_first(&rare) && !line.goes_first(&large));
@@ -281,7 +281,7 @@
     let mut line = AdmissionQueue::default();
     let request = |number| waiting(RANK, Some(tenant(number, 1)));
     for step in 0..40 {
-        line.came(at(step * 100), &request((step % 4) as usize));
+        line.record_arrival(at(step * 100), &request((step % 4) as usize));
     }
     assert!((0..4).all(|number| !line.goes_first(&request(number))));
 }
@@ -292,10 +292,10 @@
     let (large, small) = (waiting(RANK, Some(tenant(20, 10))), waiting(RANK, Some(tenant(1, 1))));
     assert!(!line.goes_first(&large));
     for second in 10..60 {
-        line.came(at(second * 1_000), &small);
+        line.record_arrival(at(second * 1_000), &small);
         line.begun(&small);
     }
-    line.came(at(60_000), &large);
+    line.record_arrival(at(60_000), &large);
     assert!(line.goes_first(&large));
 }
 
