--- a/crates/domain/src/forwarding/admission_queue.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -46,7 +46,7 @@
     }
 
     /// A request begins, whether it has waited or not.
-    pub fn begun(&mut self, candidate: &Candidate) {
+    pub fn record_start(&mut self, candidate: &Candidate) {
         self.shares.begun(candidate.rank);
     }
 
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -292,7 +292,7 @@
     }
 
     fn begin(&mut self, candidate: &Candidate) {
-        self.line.begun(candidate);
+        self.line.record_start(candidate);
         self.in_flight += 1;
         self.round.most = self.round.most.max(self.in_flight);
     }
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -241,10 +241,10 @@
         if tenth % 10 == 0 {
             let small = other((tenth / 10 % 20) as usize);
             line.record_arrival(now, &small);
-            line.begun(&small);
+            line.record_start(&small);
         }
         if [0, 7, 13].contains(&(tenth % 20)) {
-            line.begun(&large);
+            line.record_start(&large);
         }
     }
     line
@@ -293,7 +293,7 @@
     assert!(!line.goes_first(&large));
     for second in 10..60 {
         line.record_arrival(at(second * 1_000), &small);
-        line.begun(&small);
+        line.record_start(&small);
     }
     line.record_arrival(at(60_000), &large);
     assert!(line.goes_first(&large));
