--- a/crates/domain/src/forwarding/admission_queue.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -52,7 +52,7 @@
 
     /// Whether a request goes before those that make the rush: its tenant is known and asks for no more than
     /// its share of what its priority gets.
-    pub fn goes_first(&self, candidate: &Candidate) -> bool {
+    pub fn is_within_share(&self, candidate: &Candidate) -> bool {
         candidate.tenant.is_some() && !self.shares.is_beyond(candidate.rank, candidate.tenant)
     }
 
@@ -82,9 +82,9 @@
     /// How many are served before a request that comes now, or with it: those of higher priority, and of its
     /// own those that can still be in time, but for tenants that it goes before.
     pub fn ahead(&self, now: Timestamp, newcomer: &Candidate) -> usize {
-        let goes_first = self.goes_first(newcomer);
+        let goes_first = self.is_within_share(newcomer);
         let goes_along = |waiting: &Candidate| {
-            now < waiting.in_time_until && (!goes_first || self.goes_first(waiting))
+            now < waiting.in_time_until && (!goes_first || self.is_within_share(waiting))
         };
         let ahead = |waiting: &&Candidate| {
             waiting.rank < newcomer.rank || waiting.rank == newcomer.rank && goes_along(waiting)
@@ -132,7 +132,7 @@
     fn order(&self, now: Timestamp, (ticket, candidate): (&TicketNumber, &Candidate)) -> Order {
         let late = now >= candidate.in_time_until;
         let newest = if late { TicketNumber(0) } else { *ticket };
-        let after_others = !self.goes_first(candidate);
+        let after_others = !self.is_within_share(candidate);
         (candidate.rank, late, after_others, Reverse(newest), *ticket)
     }
 }
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -215,7 +215,7 @@
             return AdmissionDecision::Admitted;
         }
         let expected = now.after(self.expected_wait(now, &candidate));
-        let makes_the_rush = self.is_overloaded() && !self.line.goes_first(&candidate);
+        let makes_the_rush = self.is_overloaded() && !self.line.is_within_share(&candidate);
         if makes_the_rush || expected >= candidate.give_up_at {
             return AdmissionDecision::Refused(self.retry_after(now, settings));
         }
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -264,7 +264,7 @@
         line.record_arrival(now, &large);
         line.join(large);
     }
-    assert!(line.goes_first(&rare) && !line.goes_first(&large));
+    assert!(line.is_within_share(&rare) && !line.is_within_share(&large));
     assert_eq!(line.take(now, |_| true).map(|(first, _)| first), Some(ticket));
 }
 
@@ -272,8 +272,11 @@
 fn each_priority_has_shares_of_its_own() {
     let line = busy_line(10);
     let lower = waiting(RANK + 1, Some(tenant(20, 10)));
-    assert!(line.goes_first(&lower), "nobody went without there");
-    assert!(!line.goes_first(&waiting(RANK, None)), "whose tenant is not known waits as before");
+    assert!(line.is_within_share(&lower), "nobody went without there");
+    assert!(
+        !line.is_within_share(&waiting(RANK, None)),
+        "whose tenant is not known waits as before"
+    );
 }
 
 #[test]
@@ -283,20 +286,20 @@
     for step in 0..40 {
         line.record_arrival(at(step * 100), &request((step % 4) as usize));
     }
-    assert!((0..4).all(|number| !line.goes_first(&request(number))));
+    assert!((0..4).all(|number| !line.is_within_share(&request(number))));
 }
 
 #[test]
 fn a_tenant_that_has_come_to_rest_is_forgiven() {
     let mut line = busy_line(10);
     let (large, small) = (waiting(RANK, Some(tenant(20, 10))), waiting(RANK, Some(tenant(1, 1))));
-    assert!(!line.goes_first(&large));
+    assert!(!line.is_within_share(&large));
     for second in 10..60 {
         line.record_arrival(at(second * 1_000), &small);
         line.record_start(&small);
     }
     line.record_arrival(at(60_000), &large);
-    assert!(line.goes_first(&large));
+    assert!(line.is_within_share(&large));
 }
 
 /// Ten of the large tenant wait, two small ones, and three of higher priority.
