--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaSettings {
     /// Latency that is assumed of a service of which nothing is known.
-    pub ordinary_latency: Duration,
+    pub baseline_latency: Duration,
     /// Time after which an observation counts little.
     pub observation_decay: Duration,
     /// What another zone of the region costs.
@@ -58,7 +58,7 @@
 impl Default for ReplicaSettings {
     fn default() -> Self {
         Self {
-            ordinary_latency: Duration::from_millis(30),
+            baseline_latency: Duration::from_millis(30),
             observation_decay: Duration::from_secs(2),
             region_cost: Duration::from_millis(10),
             far_cost: Duration::from_millis(60),
@@ -353,7 +353,7 @@
     }
 
     fn ordinary(&self, settings: &ReplicaSettings) -> f64 {
-        self.ordinary.unwrap_or(settings.ordinary_latency.as_secs_f64())
+        self.ordinary.unwrap_or(settings.baseline_latency.as_secs_f64())
     }
 }
 
