--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::forwarding::{
-    Admitted, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
+    AdmissionDecision, Candidate, OverloadGate, OverloadGateSettings, RequestOutcome, TicketNumber,
 };
 use gingerkeel_domain::identifiers::ServiceName;
 use gingerkeel_domain::routes::Route;
@@ -45,9 +45,9 @@
             return Ok(());
         };
         let (ticket, admitted) = match self.join(service, candidate) {
-            Admitted::Yes => return Ok(()),
-            Admitted::No(retry_after) => return Err(retry_after),
-            Admitted::Waits(ticket) => (ticket, self.expect(service, ticket)),
+            AdmissionDecision::Admitted => return Ok(()),
+            AdmissionDecision::Refused(retry_after) => return Err(retry_after),
+            AdmissionDecision::Queued(ticket) => (ticket, self.expect(service, ticket)),
         };
         let mut wait = Wait { admission: self, service, ticket, is_over: false };
         match timeout(self.clock.until(candidate.give_up_at), admitted).await {
@@ -60,7 +60,7 @@
         }
     }
 
-    fn join(&self, service: &ServiceName, candidate: Candidate) -> Admitted {
+    fn join(&self, service: &ServiceName, candidate: Candidate) -> AdmissionDecision {
         let mut entrances = self.entrances.borrow_mut();
         let new = || Entrance { gate: OverloadGate::new(&self.settings), waiting: BTreeMap::new() };
         let entrance = entrances.entry(service.clone()).or_insert_with(new);
@@ -78,7 +78,7 @@
 
     fn begun(&self, service: &ServiceName, ticket: TicketNumber) {
         if let Some(entrance) = self.entrances.borrow_mut().get_mut(service) {
-            entrance.gate.begun(ticket);
+            entrance.gate.confirm_admission(ticket);
         }
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// A request of a route that was admitted has ended.
-    pub fn finish(&self, route: &Route, ended: Ended) {
+    pub fn finish(&self, route: &Route, ended: RequestOutcome) {
         let mut entrances = self.entrances.borrow_mut();
         let service = route.destination.representative();
         let Some(entrance) = service.and_then(|service| entrances.get_mut(service)) else {
@@ -119,7 +119,7 @@
                 let _ = admitted.send(());
             }
         }
-        for ticket in entrance.gate.hopeless(now) {
+        for ticket in entrance.gate.take_unservable(now) {
             entrance.waiting.remove(&ticket);
         }
     }
@@ -129,7 +129,7 @@
         let entrances = self.entrances.borrow();
         let service = route.destination.representative();
         let entrance = service.and_then(|service| entrances.get(service));
-        entrance.is_some_and(|entrance| entrance.gate.is_overrun())
+        entrance.is_some_and(|entrance| entrance.gate.is_overloaded())
     }
 }
 
--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -17,7 +17,9 @@
     ExtraLoadShare, LoadReport, Outcome, ReplicaSet, ReplicaSettings,
 };
 use gingerkeel_domain::identifiers::{BrokerName, LeafIdentity, ServiceName, ZoneName};
-use gingerkeel_domain::leaf_warnings::{Conduct, LeafObservation, LeafWarning, ObservationLog};
+use gingerkeel_domain::leaf_warnings::{
+    LeafObservation, LeafWarning, ObservationLog, ObservedOutcome,
+};
 use gingerkeel_domain::time::Timestamp;
 use gingerkeel_settings::{BrokerSettings, RouteSettings};
 use gingerkeel_transport::Clock;
@@ -153,7 +155,7 @@
         let mut leaves = self.leaves.borrow_mut();
         let Leaves { directory, cold, .. } = &mut *leaves;
         for leaf in directory.leaves().values().filter(|leaf| restored.contains(&leaf.zone)) {
-            cold.chill(&leaf.identity, now.after(cold_start(&leaf.service).span()));
+            cold.mark_cold(&leaf.identity, now.after(cold_start(&leaf.service).span()));
         }
     }
 
@@ -177,7 +179,7 @@
         for leaf in changed {
             self.connections.forget_plan(&leaf.service);
             if leaf.cold_ms > 0 {
-                cold.chill(&leaf.identity, now.after(Duration::from_millis(leaf.cold_ms)));
+                cold.mark_cold(&leaf.identity, now.after(Duration::from_millis(leaf.cold_ms)));
             }
             let service = services.entry(leaf.service.clone()).or_default();
             if !service.replicas.list(now, leaf, self.distance(leaf)) {
@@ -314,12 +316,12 @@
 
     /// In a request that began then, a leaf did so as measured by the other leaves of the request. That one of
     /// another region is slow is not reported: distance may be the cause.
-    pub fn observe(&self, leaf: &LeafIdentity, began: Timestamp, conduct: Conduct) {
+    pub fn observe(&self, leaf: &LeafIdentity, began: Timestamp, conduct: ObservedOutcome) {
         let leaves = self.leaves.borrow();
         let Some(listed) = leaves.directory.leaves().get(leaf) else {
             return;
         };
-        let by_distance = !matches!(conduct, Conduct::Failed | Conduct::Refused);
+        let by_distance = !matches!(conduct, ObservedOutcome::Failed | ObservedOutcome::Refused);
         if !by_distance || self.distance(listed) != Distance::Far {
             self.observations.borrow_mut().observe(self.clock.now(), leaf, began, conduct);
         }
@@ -353,17 +355,21 @@
 
     /// An attempt has waited longer than expected.
     pub fn late(&self, service: &ServiceName, leaf: &LeafIdentity) {
-        self.with_replicas(service, |replicas, now, settings| replicas.late(now, settings, leaf));
+        self.with_replicas(service, |replicas, now, settings| {
+            replicas.mark_late(now, settings, leaf)
+        });
     }
 
     /// An attempt got no answer at all.
     pub fn silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
-        self.with_replicas(service, |replicas, now, settings| replicas.silent(now, settings, leaf));
+        self.with_replicas(service, |replicas, now, settings| {
+            replicas.mark_silent(now, settings, leaf)
+        });
     }
 
     /// A leaf said on an answer how loaded it is.
     pub fn reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
-        self.with_replicas(service, |replicas, now, _| replicas.reported(now, leaf, report));
+        self.with_replicas(service, |replicas, now, _| replicas.record_load(now, leaf, report));
     }
 
     /// The load that a leaf reported lately.
@@ -433,14 +439,14 @@
     /// Somebody took a connection at a leaf's address.
     pub fn took_connection(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, now, settings| {
-            replicas.took_connection(now, settings, &leaf.identity);
+            replicas.record_connection_accepted(now, settings, &leaf.identity);
         });
     }
 
     /// Nobody listens at a leaf's address.
     pub fn refused_connection(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, _, _| {
-            replicas.refused_connection(&leaf.identity);
+            replicas.record_connection_refused(&leaf.identity);
         });
     }
 
@@ -452,7 +458,7 @@
         let Leaves { directory, services, .. } = &mut *leaves;
         let mut to_check = Vec::new();
         for (name, service) in services.iter_mut() {
-            let missing = service.replicas.look_after_missing(now, &self.replica_settings);
+            let missing = service.replicas.check_unresponsive(now, &self.replica_settings);
             for leaf in missing.presumed_ended {
                 info!(event = "leaf_presumed_ended", service = %name, %leaf);
             }
--- a/crates/broker/src/routes/trail.rs
+++ b/crates/broker/src/routes/trail.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use gingerkeel_domain::crash_suspects::Caution;
-use gingerkeel_domain::forwarding::{AttemptError, LoadReport, NobodyReason};
+use gingerkeel_domain::forwarding::{AttemptError, LoadReport, NoLeafReason};
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName};
-use gingerkeel_domain::leaf_warnings::Conduct;
+use gingerkeel_domain::leaf_warnings::ObservedOutcome;
 use gingerkeel_domain::routes::RouteVersion;
 use tracing::info;
 use xxhash_rust::xxh3::xxh3_64;
@@ -90,7 +90,7 @@
     /// When it was asked.
     pub began: Instant,
     /// What it did.
-    pub conduct: Conduct,
+    pub conduct: ObservedOutcome,
 }
 
 /// What a request ended with.
@@ -128,7 +128,7 @@
     /// Leaves that ended under it.
     leaves_ended: Cell<u32>,
     /// Why no leaf of a service could be asked; of several services, of the last.
-    nobody: Cell<Option<NobodyReason>>,
+    nobody: Cell<Option<NoLeafReason>>,
 }
 
 impl Trail {
@@ -170,12 +170,12 @@
     }
 
     /// No leaf of a service could be asked, or could be by the end of the request's time.
-    pub fn nobody(&self, reason: NobodyReason) {
+    pub fn nobody(&self, reason: NoLeafReason) {
         self.nobody.set(Some(reason));
     }
 
     /// What [`Self::nobody`] was told last; none before.
-    pub fn nobody_reason(&self) -> Option<NobodyReason> {
+    pub fn nobody_reason(&self) -> Option<NoLeafReason> {
         self.nobody.get()
     }
 
@@ -251,7 +251,7 @@
             attempts = attempts.len(),
             caution = self.caution.get().map(Caution::as_str),
             leaves_ended = (self.leaves_ended() > 0).then_some(self.leaves_ended()),
-            no_leaf = self.nobody.get().map(NobodyReason::as_str),
+            no_leaf = self.nobody.get().map(NoLeafReason::as_str),
             retry_after_ms = end.retry_after_ms,
             routes_version = end.routes_version.0,
             directory_version = end.directory_version
@@ -270,19 +270,19 @@
         Some(Judgement { leaf: self.leaf.clone(), began: self.began, conduct })
     }
 
-    fn conduct(&self, slow_after: Option<Duration>) -> Option<Conduct> {
+    fn conduct(&self, slow_after: Option<Duration>) -> Option<ObservedOutcome> {
         let outcome = self.ended.as_ref().map(|ended| ended.outcome);
         if outcome.is_some_and(|outcome| FAILED.contains(&outcome)) {
-            return Some(Conduct::Failed);
+            return Some(ObservedOutcome::Failed);
         }
         if outcome == Some(REJECTED) {
-            return Some(Conduct::Refused);
+            return Some(ObservedOutcome::Refused);
         }
         let slow_after = slow_after.filter(|_| self.reason == AskReason::First)?;
         let took = self.ended.as_ref().map_or_else(|| self.began.elapsed(), |ended| ended.took);
         match outcome {
-            _ if took > slow_after => Some(Conduct::Slow),
-            Some(ANSWERED) => Some(Conduct::Sound),
+            _ if took > slow_after => Some(ObservedOutcome::Slow),
+            Some(ANSWERED) => Some(ObservedOutcome::Sound),
             _ => None,
         }
     }
--- a/crates/domain/src/forwarding/waiting_line.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -33,26 +33,26 @@
 
 /// Requests that wait.
 #[derive(Debug, Default)]
-pub struct WaitingLine {
+pub struct AdmissionQueue {
     next: u64,
     waiting: BTreeMap<TicketNumber, Candidate>,
     shares: TenantShares,
 }
 
-impl WaitingLine {
+impl AdmissionQueue {
     /// A request comes, whether it is to wait or not.
-    pub fn came(&mut self, now: Timestamp, candidate: &Candidate) {
+    pub fn record_arrival(&mut self, now: Timestamp, candidate: &Candidate) {
         self.shares.arrived(now, candidate.rank, candidate.tenant);
     }
 
     /// A request begins, whether it has waited or not.
-    pub fn begun(&mut self, candidate: &Candidate) {
+    pub fn record_start(&mut self, candidate: &Candidate) {
         self.shares.begun(candidate.rank);
     }
 
     /// Whether a request goes before those that make the rush: its tenant is known and asks for no more than
     /// its share of what its priority gets.
-    pub fn goes_first(&self, candidate: &Candidate) -> bool {
+    pub fn is_within_share(&self, candidate: &Candidate) -> bool {
         candidate.tenant.is_some() && !self.shares.is_beyond(candidate.rank, candidate.tenant)
     }
 
@@ -82,9 +82,9 @@
     /// How many are served before a request that comes now, or with it: those of higher priority, and of its
     /// own those that can still be in time, but for tenants that it goes before.
     pub fn ahead(&self, now: Timestamp, newcomer: &Candidate) -> usize {
-        let goes_first = self.goes_first(newcomer);
+        let goes_first = self.is_within_share(newcomer);
         let goes_along = |waiting: &Candidate| {
-            now < waiting.in_time_until && (!goes_first || self.goes_first(waiting))
+            now < waiting.in_time_until && (!goes_first || self.is_within_share(waiting))
         };
         let ahead = |waiting: &&Candidate| {
             waiting.rank < newcomer.rank || waiting.rank == newcomer.rank && goes_along(waiting)
@@ -94,7 +94,7 @@
 
     /// Those that cannot be in time any more and would wait in vain, when so many of their kind are served
     /// in a second: they do not wait any more.
-    pub fn take_hopeless(&mut self, now: Timestamp, late_per_second: f64) -> Vec<TicketNumber> {
+    pub fn take_unservable(&mut self, now: Timestamp, late_per_second: f64) -> Vec<TicketNumber> {
         let is_late = |(_, candidate): &(&TicketNumber, &Candidate)| now >= candidate.in_time_until;
         let mut late: Vec<_> = self.waiting.iter().filter(is_late).collect();
         late.sort_by_key(|waiting| self.order(now, *waiting));
@@ -132,7 +132,7 @@
     fn order(&self, now: Timestamp, (ticket, candidate): (&TicketNumber, &Candidate)) -> Order {
         let late = now >= candidate.in_time_until;
         let newest = if late { TicketNumber(0) } else { *ticket };
-        let after_others = !self.goes_first(candidate);
+        let after_others = !self.is_within_share(candidate);
         (candidate.rank, late, after_others, Reverse(newest), *ticket)
     }
 }
--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -1,5 +1,6 @@
 //! Forwarding of a request to leaves: whom to ask, how often, and what to answer.
 
+mod admission_queue;
 mod attempts;
 mod cold_leaves;
 mod connection_allowance;
@@ -20,27 +21,26 @@
 mod signs_of_life;
 mod split;
 mod tenant_shares;
-mod waiting_line;
 
+pub use admission_queue::{AdmissionQueue, Candidate, TicketNumber};
 pub use attempts::{AfterAttempt, AttemptError, RequestAttempts, hedge_delay};
 pub use cold_leaves::{ColdLeaves, ColdShare, ColdStart};
 pub use connection_allowance::ConnectionAllowance;
 pub use connection_plan::{BrokerCensus, ConnectionPlan, PlanningBroker};
 pub use connection_share::{SharingBrokers, connection_share};
 pub use delivery::{AnswerMargin, DeliveryTime};
-pub use eligibility::{Exclusion, NobodyReason};
+pub use eligibility::{Exclusion, NoLeafReason};
 pub use execution::{ExecutionEvidence, RequestFailure};
 pub use extra_load::{ExtraLoadBudget, ExtraLoadSettings, ExtraLoadShare};
 pub use gathering::{GatherStep, GatherTimes, Gathering};
 pub use greatest::{GreatestRecords, RECORD_BYTES};
-pub use load_report::{LoadReport, ObservedLoad, USUAL_PACE};
+pub use load_report::{LoadReport, NOMINAL_PACE_PERCENT, ObservedLoad};
 pub use misdirected::MisdirectedRequests;
-pub use overload::{Admitted, Ended, OverloadGate, OverloadGateSettings};
+pub use overload::{AdmissionDecision, OverloadGate, OverloadGateSettings, RequestOutcome};
 pub use planned_stop::PlannedStop;
 pub use replica::{Distance, Outcome};
 pub use replica_set::{
-    Choice, Connectivity, MissingLeaves, ReplicaSet, ReplicaSettings, Selection,
+    Choice, Connectivity, ReplicaSet, ReplicaSettings, Selection, UnresponsiveLeaves,
 };
-pub use split::SplitTurns;
+pub use split::SplitSequence;
 pub use tenant_shares::{SharingTenant, TenantShares};
-pub use waiting_line::{Candidate, TicketNumber, WaitingLine};
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::waiting_line::{Candidate, TicketNumber, WaitingLine};
+use super::admission_queue::{AdmissionQueue, Candidate, TicketNumber};
 use crate::time::Timestamp;
 
 /// Rounds from which on a rush is taken for one that lasts.
@@ -27,7 +27,7 @@
     pub bad_share: f64,
     /// Share of the parts of a late request that came in time from which on it tells of the shards
     /// that were late, and not of a lack of capacity.
-    pub few_late_parts: f64,
+    pub isolated_late_share: f64,
     /// Requests that a round needs to be judged.
     pub least_samples: u32,
     /// Factor of the limit after a bad round.
@@ -40,7 +40,7 @@
     pub reserve: f64,
     /// How many times as many requests as end have to come in a round for it to be said that those
     /// which wait would wait in vain.
-    pub rush: f64,
+    pub surge_ratio: f64,
     /// Limit at the start.
     pub first_limit: f64,
     /// Bounds of the time after which a refused caller may come back.
@@ -52,13 +52,13 @@
         Self {
             round: Duration::from_millis(200),
             bad_share: 0.2,
-            few_late_parts: 0.75,
+            isolated_late_share: 0.75,
             least_samples: 8,
             decrease: 0.8,
             increase: 1.05,
             least_limit: 2.0,
             reserve: 0.3,
-            rush: 1.25,
+            surge_ratio: 1.25,
             first_limit: 4.0,
             retry_after: [Duration::from_millis(800), Duration::from_secs(4)],
         }
@@ -67,19 +67,19 @@
 
 /// Whether a request is served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It is; [`OverloadGate::finish`] has to follow.
-    Yes,
+    Admitted,
     /// It waits: [`OverloadGate::next`] gives its number once it is admitted, [`OverloadGate::leave`] ends
     /// the wait.
-    Waits(TicketNumber),
+    Queued(TicketNumber),
     /// It is not; its caller may come back after this time.
-    No(Duration),
+    Refused(Duration),
 }
 
 /// How a request that was admitted has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// It was answered within its target latency, from its admission.
     InTime,
     /// It was not.
@@ -91,7 +91,7 @@
     GivenUp,
 }
 
-impl Ended {
+impl RequestOutcome {
     /// Whether it tells that leaves run short; none where it tells nothing. All shards of a request
     /// get the same load: where few of them are late, these are slow, and fewer requests would not
     /// make them faster.
@@ -100,7 +100,7 @@
             Self::InTime => Some(false),
             Self::Late { parts: None } => Some(true),
             Self::Late { parts: Some((in_time, whole)) } => {
-                Some((in_time as f64) < whole as f64 * settings.few_late_parts)
+                Some((in_time as f64) < whole as f64 * settings.isolated_late_share)
             }
             Self::GivenUp => None,
         }
@@ -117,7 +117,7 @@
     /// Recent rounds in which clearly more came than ended while leaves ran short, less those in which
     /// that was not so.
     rush_rounds: u32,
-    line: WaitingLine,
+    line: AdmissionQueue,
     /// Those that waited and do not know yet that they are admitted.
     admitted: BTreeSet<TicketNumber>,
     /// How many requests begin in a second though they are late already, smoothed over rounds.
@@ -149,7 +149,7 @@
 impl Round {
     /// Whether clearly more requests came than ended.
     fn is_rush(&self, settings: &OverloadGateSettings) -> bool {
-        f64::from(self.arrived) > f64::from(self.ended) * settings.rush + 1.0
+        f64::from(self.arrived) > f64::from(self.ended) * settings.surge_ratio + 1.0
     }
 }
 
@@ -173,7 +173,7 @@
             limited_since: Timestamp::ZERO,
             round: Round::default(),
             rush_rounds: 0,
-            line: WaitingLine::default(),
+            line: AdmissionQueue::default(),
             admitted: BTreeSet::new(),
             late_per_second: f64::INFINITY,
             judged_anew: false,
@@ -187,7 +187,7 @@
     }
 
     /// Whether leaves run short while clearly more requests come than end.
-    pub fn is_overrun(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.rush_rounds >= RUSH_ROUNDS
     }
 
@@ -207,19 +207,19 @@
         now: Timestamp,
         settings: &OverloadGateSettings,
         candidate: Candidate,
-    ) -> Admitted {
+    ) -> AdmissionDecision {
         self.round.arrived += 1;
-        self.line.came(now, &candidate);
+        self.line.record_arrival(now, &candidate);
         if self.may_begin(settings, candidate.rank) {
             self.begin(&candidate);
-            return Admitted::Yes;
+            return AdmissionDecision::Admitted;
         }
         let expected = now.after(self.expected_wait(now, &candidate));
-        let makes_the_rush = self.is_overrun() && !self.line.goes_first(&candidate);
+        let makes_the_rush = self.is_overloaded() && !self.line.is_within_share(&candidate);
         if makes_the_rush || expected >= candidate.give_up_at {
-            return Admitted::No(self.retry_after(now, settings));
+            return AdmissionDecision::Refused(self.retry_after(now, settings));
         }
-        Admitted::Waits(self.line.join(candidate))
+        AdmissionDecision::Queued(self.line.join(candidate))
     }
 
     /// The next request that waited and is admitted now; [`OverloadGate::finish`] has to follow.
@@ -238,15 +238,15 @@
     }
 
     /// A request that waited knows that it is admitted.
-    pub fn begun(&mut self, ticket: TicketNumber) {
+    pub fn confirm_admission(&mut self, ticket: TicketNumber) {
         self.admitted.remove(&ticket);
     }
 
     /// Requests that wait in vain, as the last rounds tell: while as many come as are served, nothing is
     /// left over for those that are late already. They are to be refused at once.
-    pub fn hopeless(&mut self, now: Timestamp) -> Vec<TicketNumber> {
-        match std::mem::take(&mut self.judged_anew) && self.is_overrun() {
-            true => self.line.take_hopeless(now, self.late_per_second),
+    pub fn take_unservable(&mut self, now: Timestamp) -> Vec<TicketNumber> {
+        match std::mem::take(&mut self.judged_anew) && self.is_overloaded() {
+            true => self.line.take_unservable(now, self.late_per_second),
             false => Vec::new(),
         }
     }
@@ -260,13 +260,18 @@
         ticket: TicketNumber,
     ) -> Duration {
         if !self.line.leave(ticket) && self.admitted.remove(&ticket) {
-            self.finish(now, settings, Ended::GivenUp);
+            self.finish(now, settings, RequestOutcome::GivenUp);
         }
         self.retry_after(now, settings)
     }
 
     /// A request that was admitted has ended.
-    pub fn finish(&mut self, now: Timestamp, settings: &OverloadGateSettings, ended: Ended) {
+    pub fn finish(
+        &mut self,
+        now: Timestamp,
+        settings: &OverloadGateSettings,
+        ended: RequestOutcome,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.round.ended += 1;
         match ended.tells_of_shortage(settings) {
@@ -274,7 +279,7 @@
             Some(false) => self.round.good += 1,
             None => {}
         }
-        if let (Limit::Rising(limit), Ended::InTime) = (self.limit, ended) {
+        if let (Limit::Rising(limit), RequestOutcome::InTime) = (self.limit, ended) {
             self.limit = Limit::Rising(limit + 1.0);
         }
         if now.since(self.round.began) >= settings.round {
@@ -287,7 +292,7 @@
     }
 
     fn begin(&mut self, candidate: &Candidate) {
-        self.line.begun(candidate);
+        self.line.record_start(candidate);
         self.in_flight += 1;
         self.round.most = self.round.most.max(self.in_flight);
     }
--- a/crates/domain/src/forwarding/replica.rs
+++ b/crates/domain/src/forwarding/replica.rs
@@ -263,7 +263,7 @@
         let Some(latency) = self.latency else {
             return ordinary;
         };
-        let age = now.since(self.observed).as_secs_f64() / settings.memory.as_secs_f64();
+        let age = now.since(self.observed).as_secs_f64() / settings.observation_decay.as_secs_f64();
         ordinary.min(latency) + (latency - ordinary).max(0.0) * (-age).exp()
     }
 
@@ -278,7 +278,8 @@
         let known = self.known_latency(now, settings, ordinary);
         let waiting = (self.in_flight + 1).saturating_sub(self.slots);
         let queue = 1.0 + f64::from(waiting) / f64::from(self.slots);
-        let share = 1.0 + f64::from(self.in_flight) / f64::from(self.slots) * settings.spread;
+        let share =
+            1.0 + f64::from(self.in_flight) / f64::from(self.slots) * settings.in_flight_weight;
         known * queue * share + settings.distance_cost(self.distance).as_secs_f64()
     }
 
@@ -292,7 +293,7 @@
     ) -> f64 {
         match connectivity {
             Connectivity::Idle => 0.0,
-            Connectivity::Openable => settings.opening_cost(self.distance),
+            Connectivity::Openable => settings.connect_cost(self.distance),
             Connectivity::Exhausted => ordinary / f64::from(self.in_flight.max(1)),
         }
     }
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::eligibility::{Exclusion, Exclusions, NobodyReason};
+use super::eligibility::{Exclusion, Exclusions, NoLeafReason};
 use super::load_report::LoadReport;
 use super::replica::{Distance, Outcome, Replica};
 use super::signs_of_life::LifeStep;
@@ -32,17 +32,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaSettings {
     /// Latency that is assumed of a service of which nothing is known.
-    pub ordinary_latency: Duration,
+    pub baseline_latency: Duration,
     /// Time after which an observation counts little.
-    pub memory: Duration,
+    pub observation_decay: Duration,
     /// What another zone of the region costs.
     pub region_cost: Duration,
     /// What another region costs.
     pub far_cost: Duration,
     /// What a new connection costs in the own zone, and to another region.
-    pub opening: [Duration; 2],
+    pub connect_cost: [Duration; 2],
     /// How much occupied slots count.
-    pub spread: f64,
+    pub in_flight_weight: f64,
     /// Time for which a failing leaf is left out at first.
     pub ejection: Duration,
     /// Time for which a leaf that owes an answer is asked last, at first.
@@ -58,12 +58,12 @@
 impl Default for ReplicaSettings {
     fn default() -> Self {
         Self {
-            ordinary_latency: Duration::from_millis(30),
-            memory: Duration::from_secs(2),
+            baseline_latency: Duration::from_millis(30),
+            observation_decay: Duration::from_secs(2),
             region_cost: Duration::from_millis(10),
             far_cost: Duration::from_millis(60),
-            opening: [Duration::from_millis(3), Duration::from_millis(30)],
-            spread: 0.5,
+            connect_cost: [Duration::from_millis(3), Duration::from_millis(30)],
+            in_flight_weight: 0.5,
             ejection: Duration::from_millis(500),
             suspicion: Duration::from_millis(300),
             rejection_pause: Duration::from_millis(100),
@@ -74,8 +74,8 @@
 }
 
 impl ReplicaSettings {
-    pub(super) fn opening_cost(&self, distance: Distance) -> f64 {
-        let [near, far] = self.opening;
+    pub(super) fn connect_cost(&self, distance: Distance) -> f64 {
+        let [near, far] = self.connect_cost;
         match distance {
             Distance::Far => far.as_secs_f64(),
             Distance::Zone | Distance::Region => near.as_secs_f64(),
@@ -129,7 +129,7 @@
         otherwise: Option<Choice>,
     },
     /// No leaf can be asked.
-    Nobody(NobodyReason),
+    NoLeaf(NoLeafReason),
 }
 
 /// A leaf with what speaks for it, the less the better.
@@ -137,7 +137,7 @@
 
 /// Leaves that have missed, by what to do about them.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct MissingLeaves {
+pub struct UnresponsiveLeaves {
     /// A connection is to be opened to each, to learn whether it is there.
     pub to_check: Vec<LeafIdentity>,
     /// They are presumed to have ended from now on.
@@ -223,7 +223,7 @@
             }
         }
         match (best, exhausted) {
-            (None, None) => Selection::Nobody(left_out.reason()),
+            (None, None) => Selection::NoLeaf(left_out.reason()),
             (Some(best), None) => Selection::Ask(Choice::from(best)),
             (Some(best), Some(exhausted)) if !is_better(exhausted, best) => {
                 Selection::Ask(Choice::from(best))
@@ -240,7 +240,7 @@
     }
 
     /// Somebody took a connection at a leaf's address.
-    pub fn took_connection(
+    pub fn record_connection_accepted(
         &mut self,
         now: Timestamp,
         settings: &ReplicaSettings,
@@ -252,19 +252,19 @@
     }
 
     /// Nobody listens at a leaf's address.
-    pub fn refused_connection(&mut self, leaf: &LeafIdentity) {
+    pub fn record_connection_refused(&mut self, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.life.refused_connection();
         }
     }
 
     /// What to do about the leaves that have missed.
-    pub fn look_after_missing(
+    pub fn check_unresponsive(
         &mut self,
         now: Timestamp,
         settings: &ReplicaSettings,
-    ) -> MissingLeaves {
-        let mut found = MissingLeaves::default();
+    ) -> UnresponsiveLeaves {
+        let mut found = UnresponsiveLeaves::default();
         let replicas = &mut self.replicas;
         self.missing.retain(|leaf| {
             let replica = replicas.get_mut(leaf).filter(|replica| !replica.is_address_taken());
@@ -280,7 +280,7 @@
     }
 
     /// An attempt has waited longer than expected.
-    pub fn late(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
+    pub fn mark_late(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.mark_late(now, settings);
             self.missing.insert(leaf.clone());
@@ -288,7 +288,7 @@
     }
 
     /// An attempt got no answer in the whole time that it had.
-    pub fn silent(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
+    pub fn mark_silent(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.mark_silent(now, settings);
             self.missing.insert(leaf.clone());
@@ -320,7 +320,7 @@
     }
 
     /// A leaf said on an answer how loaded it is.
-    pub fn reported(&mut self, now: Timestamp, leaf: &LeafIdentity, report: LoadReport) {
+    pub fn record_load(&mut self, now: Timestamp, leaf: &LeafIdentity, report: LoadReport) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.load.observe(now, report);
         }
@@ -353,7 +353,7 @@
     }
 
     fn ordinary(&self, settings: &ReplicaSettings) -> f64 {
-        self.ordinary.unwrap_or(settings.ordinary_latency.as_secs_f64())
+        self.ordinary.unwrap_or(settings.baseline_latency.as_secs_f64())
     }
 }
 
@@ -381,22 +381,22 @@
     presumed_ended: bool,
     tried: &[LeafIdentity],
     reach: impl Fn(&LeafIdentity) -> Result<Connectivity, Exclusion>,
-) -> Result<Connectivity, NobodyReason> {
+) -> Result<Connectivity, NoLeafReason> {
     if replica.leaving {
-        return Err(NobodyReason::Excluded(Exclusion::Leaving));
+        return Err(NoLeafReason::Excluded(Exclusion::Leaving));
     }
     if replica.is_address_taken() {
-        return Err(NobodyReason::Excluded(Exclusion::AddressTaken));
+        return Err(NoLeafReason::Excluded(Exclusion::AddressTaken));
     }
     if tried.contains(identity) {
-        return Err(NobodyReason::AllTried);
+        return Err(NoLeafReason::AllTried);
     }
-    let connectivity = reach(identity).map_err(NobodyReason::Excluded)?;
+    let connectivity = reach(identity).map_err(NoLeafReason::Excluded)?;
     if replica.is_ejected(now) {
-        return Err(NobodyReason::Excluded(Exclusion::Ejected));
+        return Err(NoLeafReason::Excluded(Exclusion::Ejected));
     }
     if presumed_ended {
-        return Err(NobodyReason::Excluded(Exclusion::PresumedEnded));
+        return Err(NoLeafReason::Excluded(Exclusion::PresumedEnded));
     }
     Ok(connectivity)
 }
--- a/crates/domain/src/leaf_warnings/mod.rs
+++ b/crates/domain/src/leaf_warnings/mod.rs
@@ -8,14 +8,14 @@
 //! without control each broker goes on by what it sees itself.
 //! Why so, and what else was weighed: `docs/design/leaf-warnings.md`.
 
-mod fold;
+mod aggregator;
 mod observation_log;
 
 use serde::{Deserialize, Serialize};
 
 use crate::identifiers::LeafIdentity;
 
-pub use fold::WarningFold;
+pub use aggregator::WarningAggregator;
 pub use observation_log::ObservationLog;
 
 /// What one broker saw of a leaf that was slow or failed.
@@ -35,7 +35,7 @@
 
 /// How a leaf did in one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conduct {
+pub enum ObservedOutcome {
     /// It answered about as soon as the leaves of the other shards.
     Sound,
     /// It took far longer than they did.
--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -9,7 +9,7 @@
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::forwarding::{
     Connectivity, Distance, Exclusion, ExtraLoadBudget, ExtraLoadSettings, ExtraLoadShare,
-    MisdirectedRequests, NobodyReason, Outcome, ReplicaSet, ReplicaSettings, Selection,
+    MisdirectedRequests, NoLeafReason, Outcome, ReplicaSet, ReplicaSettings, Selection,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::time::Timestamp;
@@ -60,9 +60,9 @@
         Seen::RefusesWork => Outcome::Rejected,
         Seen::Fails => Outcome::Failed,
         Seen::RefusesConnection => Outcome::ConnectionRefused,
-        Seen::IsLate => return set.late(now, &settings, &identity),
-        Seen::TakesConnection => return set.took_connection(now, &settings, &identity),
-        Seen::TakesNoConnectionOfACheck => return set.refused_connection(&identity),
+        Seen::IsLate => return set.mark_late(now, &settings, &identity),
+        Seen::TakesConnection => return set.record_connection_accepted(now, &settings, &identity),
+        Seen::TakesNoConnectionOfACheck => return set.record_connection_refused(&identity),
     };
     set.begin(&identity);
     set.finish(now, &settings, &identity, outcome);
@@ -88,9 +88,9 @@
         "near" => Ok(Connectivity::Idle),
         _ => Err(Exclusion::RegionNotAllowed),
     };
-    let reason = NobodyReason::Excluded(Exclusion::PresumedEnded);
+    let reason = NoLeafReason::Excluded(Exclusion::PresumedEnded);
     let selection = set.choose(at(milliseconds), &ReplicaSettings::default(), &[], reach, || 0.0);
-    selection == Selection::Nobody(reason)
+    selection == Selection::NoLeaf(reason)
 }
 
 /// What was seen of the near leaf and when, in milliseconds, and whether it is presumed to have ended then.
@@ -131,7 +131,7 @@
 fn a_leaf_that_has_missed_is_looked_after() {
     let mut set = two_leaves();
     let look = |set: &mut ReplicaSet, milliseconds| {
-        let found = set.look_after_missing(at(milliseconds), &ReplicaSettings::default());
+        let found = set.check_unresponsive(at(milliseconds), &ReplicaSettings::default());
         (found.to_check.len(), found.presumed_ended.len())
     };
     see(&mut set, 0, "near", Seen::Replies);
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -6,8 +6,8 @@
 
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::forwarding::{
-    Connectivity, Distance, Exclusion, GreatestRecords, NobodyReason, Outcome, RECORD_BYTES,
-    ReplicaSet, ReplicaSettings, Selection, SharingBrokers, SplitTurns, connection_share,
+    Connectivity, Distance, Exclusion, GreatestRecords, NoLeafReason, Outcome, RECORD_BYTES,
+    ReplicaSet, ReplicaSettings, Selection, SharingBrokers, SplitSequence, connection_share,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::routes::WeightedService;
@@ -61,7 +61,7 @@
 fn asked(selection: &Selection) -> Option<String> {
     match selection {
         Selection::Ask(choice) => Some(choice.leaf.as_str().to_owned()),
-        Selection::Wait { .. } | Selection::Nobody(_) => None,
+        Selection::Wait { .. } | Selection::NoLeaf(_) => None,
     }
 }
 
@@ -106,7 +106,7 @@
 fn a_connection_to_a_sound_leaf_is_waited_for_rather_than_a_late_one_asked() {
     let mut set = three_leaves();
     set.begin(&identity("far-1"));
-    set.late(at(0), &ReplicaSettings::default(), &identity("far-1"));
+    set.mark_late(at(0), &ReplicaSettings::default(), &identity("far-1"));
     let Selection::Wait { otherwise } = select(&set, at(10), &[], only("far-1")) else {
         panic!("a sound leaf is worth waiting for");
     };
@@ -118,7 +118,7 @@
 fn a_sound_leaf_that_has_a_connection_is_not_passed_over_for_a_late_one_without() {
     let mut set = three_leaves();
     set.begin(&identity("near"));
-    set.late(at(0), &ReplicaSettings::default(), &identity("near"));
+    set.mark_late(at(0), &ReplicaSettings::default(), &identity("near"));
     assert_eq!(asked(&select(&set, at(10), &[], only("far-1"))).as_deref(), Some("far-1"));
 }
 
@@ -157,7 +157,7 @@
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     set.begin(&identity("near"));
-    set.late(at(50), &settings, &identity("near"));
+    set.mark_late(at(50), &settings, &identity("near"));
     assert_ne!(chosen(&set, at(60), &[]).as_deref(), Some("near"));
     set.finish(at(70), &settings, &identity("near"), Outcome::Answered(Duration::from_millis(70)));
     assert_eq!(chosen(&set, at(71), &[]).as_deref(), Some("near"));
@@ -168,7 +168,7 @@
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     set.begin(&identity("near"));
-    set.late(at(0), &settings, &identity("near"));
+    set.mark_late(at(0), &settings, &identity("near"));
     set.finish(at(10), &settings, &identity("near"), Outcome::Abandoned(Duration::ZERO));
     let over = at(11).after(settings.suspicion);
     assert_eq!(chosen(&set, over, &[]).as_deref(), Some("near"));
@@ -186,7 +186,7 @@
         if chosen(&set, at(now), &[]).as_deref() == Some("near") {
             tries += 1;
             set.begin(&identity("near"));
-            set.late(at(now), &settings, &identity("near"));
+            set.mark_late(at(now), &settings, &identity("near"));
             answered(&mut set, at(now), "far-1", 50);
             let slow = Outcome::Answered(Duration::from_millis(270));
             set.finish(at(now), &settings, &identity("near"), slow);
@@ -201,7 +201,7 @@
     let mut set = three_leaves();
     for now in 0..10 {
         set.begin(&identity("near"));
-        set.late(at(now), &settings, &identity("near"));
+        set.mark_late(at(now), &settings, &identity("near"));
     }
     for now in 10..20 {
         let outcome = Outcome::Abandoned(Duration::ZERO);
@@ -233,7 +233,7 @@
         answered(&mut set, at(0), "near", 250);
     }
     assert_ne!(chosen(&set, at(1), &[]).as_deref(), Some("near"));
-    let later = at(1).after(settings.memory * 5);
+    let later = at(1).after(settings.observation_decay * 5);
     assert_eq!(chosen(&set, later, &[]).as_deref(), Some("near"));
 }
 
@@ -321,7 +321,7 @@
         };
         let parts: Vec<WeightedService> = weights.iter().enumerate().map(part).collect();
         let total: u64 = weights.iter().sum();
-        let mut split = SplitTurns::starting_at(start);
+        let mut split = SplitSequence::starting_at(start);
         let mut taken = vec![0u64; parts.len()];
         for _ in 0..turns {
             let chosen = split.next(&parts).map(|part| part.service.clone());
@@ -364,7 +364,7 @@
     };
     assert_eq!(asked(&choose(&[])).as_deref(), Some("near"));
     // The near leaf was tried: the others stay excluded, and it may be asked again later.
-    assert_eq!(choose(&[identity("near")]), Selection::Nobody(NobodyReason::AllTried));
+    assert_eq!(choose(&[identity("near")]), Selection::NoLeaf(NoLeafReason::AllTried));
 }
 
 #[test]
@@ -374,18 +374,18 @@
         set.choose(at(0), &ReplicaSettings::default(), &[], reach, || 0.0)
     };
     let forbidden = |_: &LeafIdentity| Err(Exclusion::RegionNotAllowed);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(NobodyReason::NoneListed));
+    assert_eq!(choose(&set, forbidden), Selection::NoLeaf(NoLeafReason::NoneListed));
     set.list(at(0), &leaf("elsewhere"), Distance::Far);
-    let reason = NobodyReason::Excluded(Exclusion::RegionNotAllowed);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(reason));
+    let reason = NoLeafReason::Excluded(Exclusion::RegionNotAllowed);
+    assert_eq!(choose(&set, forbidden), Selection::NoLeaf(reason));
     assert!(reason.is_lasting());
     set.list(
         at(0),
         &ListedLeaf { availability: LeafAvailability::Leaving, ..leaf("a") },
         Distance::Zone,
     );
-    let reason = NobodyReason::Excluded(Exclusion::Leaving);
-    assert_eq!(choose(&set, forbidden), Selection::Nobody(reason));
+    let reason = NoLeafReason::Excluded(Exclusion::Leaving);
+    assert_eq!(choose(&set, forbidden), Selection::NoLeaf(reason));
     assert!(!reason.is_lasting());
 }
 
@@ -397,10 +397,10 @@
     set.list(at(0), &leaf("gone"), Distance::Zone);
     set.begin(&identity("gone"));
     set.finish(at(0), &ReplicaSettings::default(), &identity("gone"), Outcome::AddressTaken);
-    let reason = NobodyReason::Excluded(Exclusion::AddressTaken);
+    let reason = NoLeafReason::Excluded(Exclusion::AddressTaken);
     for later in [1, 1_000, 60_000] {
         set.list(at(0), &leaf("gone"), Distance::Zone);
-        assert_eq!(select(&set, at(later), &[], |_| Connectivity::Idle), Selection::Nobody(reason));
+        assert_eq!(select(&set, at(later), &[], |_| Connectivity::Idle), Selection::NoLeaf(reason));
     }
     assert!(reason.is_lasting());
     set.list(at(0), &leaf("successor"), Distance::Far);
@@ -426,7 +426,7 @@
     let mut random = Pcg64::new(7, 7);
     let mut taken = vec![0usize; parts.len()];
     for _ in 0..BROKERS {
-        let mut turns = SplitTurns::starting_at(random.next_u64());
+        let mut turns = SplitSequence::starting_at(random.next_u64());
         for _ in 0..requests {
             let chosen = turns.next(&parts).expect("a part").service.clone();
             taken[parts.iter().position(|part| part.service == chosen).expect("a known part")] += 1;
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    Admitted, Candidate, Ended, OverloadGate, OverloadGateSettings, TicketNumber,
+    AdmissionDecision, Candidate, OverloadGate, OverloadGateSettings, RequestOutcome, TicketNumber,
 };
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
@@ -12,8 +12,8 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-fn ended(in_time: bool) -> Ended {
-    if in_time { Ended::InTime } else { Ended::Late { parts: None } }
+fn ended(in_time: bool) -> RequestOutcome {
+    if in_time { RequestOutcome::InTime } else { RequestOutcome::Late { parts: None } }
 }
 
 /// Settings under which nothing is limited at the start.
@@ -32,7 +32,7 @@
     now: Timestamp,
     settings: &OverloadGateSettings,
     rank: u32,
-) -> Admitted {
+) -> AdmissionDecision {
     gate.enter(now, settings, Candidate { rank, in_time_until: now, give_up_at: now, tenant: None })
 }
 
@@ -96,10 +96,10 @@
             }
             while let Some(ticket) = self.gate.next(at(now), &self.settings) {
                 let (_, request) = self.waiting.remove(&ticket).expect("one that waits");
-                self.gate.begun(ticket);
+                self.gate.confirm_admission(ticket);
                 self.queue.push(Request { admitted: now, ..request });
             }
-            for ticket in self.gate.hopeless(at(now)) {
+            for ticket in self.gate.take_unservable(at(now)) {
                 let (_, request) = self.waiting.remove(&ticket).expect("one that waits");
                 self.refused[request.rank] += 1;
             }
@@ -114,11 +114,11 @@
         let request = Request { came: now, admitted: now, rank };
         let until = now + self.patience;
         match self.gate.enter(at(now), &self.settings, candidate(rank as u32, now, until)) {
-            Admitted::Yes => self.queue.push(request),
-            Admitted::Waits(ticket) => {
+            AdmissionDecision::Admitted => self.queue.push(request),
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert(ticket, (until, request));
             }
-            Admitted::No(_) => self.refused[rank] += 1,
+            AdmissionDecision::Refused(_) => self.refused[rank] += 1,
         }
     }
 
@@ -169,7 +169,7 @@
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..1_000 {
         let now = at(number * 5);
-        assert_eq!(admit(&mut gate, now, &settings, 3), Admitted::Yes);
+        assert_eq!(admit(&mut gate, now, &settings, 3), AdmissionDecision::Admitted);
         gate.finish(now, &settings, ended(number % 8 != 0));
     }
     assert!(!gate.is_limiting());
@@ -186,8 +186,8 @@
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..200 {
         let now = at(number * 10);
-        if admit(&mut gate, now, &settings, 1) == Admitted::Yes {
-            gate.finish(now, &settings, Ended::Late { parts: Some((in_time, 10)) });
+        if admit(&mut gate, now, &settings, 1) == AdmissionDecision::Admitted {
+            gate.finish(now, &settings, RequestOutcome::Late { parts: Some((in_time, 10)) });
         }
     }
     assert_eq!(gate.is_limiting(), limits);
@@ -197,8 +197,8 @@
 fn requests_that_callers_gave_up_say_nothing_and_are_not_under_way() {
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..1_000 {
-        assert_eq!(admit(&mut gate, at(number), &settings, 0), Admitted::Yes);
-        gate.finish(at(number), &settings, Ended::GivenUp);
+        assert_eq!(admit(&mut gate, at(number), &settings, 0), AdmissionDecision::Admitted);
+        gate.finish(at(number), &settings, RequestOutcome::GivenUp);
     }
     assert_eq!(gate.in_flight(), 0);
     assert!(!gate.is_limiting());
@@ -209,7 +209,9 @@
     let mut world = World::new(2);
     world.run(0, 1_000, 6);
     let asked = |world: &mut World, now| loop {
-        if let Admitted::No(after) = admit(&mut world.gate, at(now), &world.settings, 5) {
+        if let AdmissionDecision::Refused(after) =
+            admit(&mut world.gate, at(now), &world.settings, 5)
+        {
             return after;
         }
     };
@@ -256,7 +258,7 @@
 fn who_waits_is_admitted_in_order(#[case] requests: &[(u32, u64)], #[case] expected: &[usize]) {
     let settings = OverloadGateSettings { first_limit: 1.0, reserve: 0.0, ..warm() };
     let mut gate = OverloadGate::new(&settings);
-    assert_eq!(admit(&mut gate, at(0), &settings, 0), Admitted::Yes);
+    assert_eq!(admit(&mut gate, at(0), &settings, 0), AdmissionDecision::Admitted);
     let mut tickets = Vec::new();
     for (rank, in_time_until) in requests {
         let candidate = Candidate {
@@ -265,7 +267,7 @@
             give_up_at: at(1_000),
             tenant: None,
         };
-        let Admitted::Waits(ticket) = gate.enter(at(0), &settings, candidate) else {
+        let AdmissionDecision::Queued(ticket) = gate.enter(at(0), &settings, candidate) else {
             panic!("it has to wait");
         };
         tickets.push(ticket);
@@ -273,7 +275,7 @@
     let mut order = Vec::new();
     for _ in requests {
         assert_eq!(gate.next(at(50), &settings), None);
-        gate.finish(at(50), &settings, Ended::GivenUp);
+        gate.finish(at(50), &settings, RequestOutcome::GivenUp);
         let ticket = gate.next(at(50), &settings).expect("one that waits");
         order.extend(tickets.iter().position(|known| *known == ticket));
     }
@@ -284,14 +286,14 @@
 fn who_leaves_the_line_is_not_admitted_and_who_was_admitted_makes_room() {
     let settings = OverloadGateSettings { first_limit: 1.0, ..warm() };
     let mut gate = OverloadGate::new(&settings);
-    assert_eq!(admit(&mut gate, at(0), &settings, 0), Admitted::Yes);
+    assert_eq!(admit(&mut gate, at(0), &settings, 0), AdmissionDecision::Admitted);
     let wait = |gate: &mut OverloadGate| match gate.enter(at(0), &settings, candidate(0, 0, 900)) {
-        Admitted::Waits(ticket) => ticket,
+        AdmissionDecision::Queued(ticket) => ticket,
         other => panic!("{other:?}"),
     };
     let (left, stays) = (wait(&mut gate), wait(&mut gate));
     gate.leave(at(1), &settings, left);
-    gate.finish(at(2), &settings, Ended::GivenUp);
+    gate.finish(at(2), &settings, RequestOutcome::GivenUp);
     assert_eq!(gate.next(at(2), &settings), Some(stays));
     assert_eq!(gate.in_flight(), 1);
     // Its caller left before it heard of its admission.
@@ -305,7 +307,7 @@
     world.run(0, 1_000, 1);
     // Four times the capacity.
     world.run(1_000, 3_000, 8);
-    assert!(world.gate.is_overrun());
+    assert!(world.gate.is_overloaded());
     world.run(3_000, 8_000, 8);
     let waiting = world.waiting.len();
     let refused = world.refused[0] + world.refused[1];
@@ -317,14 +319,14 @@
     assert!(in_time > 2 * (world.late[0] + world.late[1]), "{in_time} {:?}", world.late);
     // Once it is over those that come may wait again.
     world.run(8_000, 11_000, 1);
-    assert!(!world.gate.is_overrun());
+    assert!(!world.gate.is_overloaded());
 }
 
 #[test]
 fn who_was_refused_while_it_waited_does_not_count_as_under_way() {
     let mut world = World::with(4, 5_000, warm());
     world.run(0, 4_000, 8);
-    let ticket = world.gate.hopeless(at(4_000)).first().copied();
+    let ticket = world.gate.take_unservable(at(4_000)).first().copied();
     let in_flight = world.gate.in_flight();
     if let Some(ticket) = ticket {
         world.gate.leave(at(4_000), &world.settings, ticket);
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::forwarding::{
-    Admitted, Candidate, Ended, OverloadGate, OverloadGateSettings, SharingTenant, TicketNumber,
-    WaitingLine,
+    AdmissionDecision, AdmissionQueue, Candidate, OverloadGate, OverloadGateSettings,
+    RequestOutcome, SharingTenant, TicketNumber,
 };
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::time::Timestamp;
@@ -107,22 +107,22 @@
         };
         let request = Request { came: now, admitted: now, broker, tenant: number };
         match self.gates[broker].enter(at(now), &OverloadGateSettings::default(), candidate) {
-            Admitted::Yes => self.queue.push(request),
-            Admitted::Waits(ticket) => {
+            AdmissionDecision::Admitted => self.queue.push(request),
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert((broker, ticket), request);
             }
-            Admitted::No(_) => {}
+            AdmissionDecision::Refused(_) => {}
         }
     }
 
     fn admit(&mut self, now: u64, broker: usize) {
         let gate = &mut self.gates[broker];
         while let Some(ticket) = gate.next(at(now), &OverloadGateSettings::default()) {
-            gate.begun(ticket);
+            gate.confirm_admission(ticket);
             let request = self.waiting.remove(&(broker, ticket)).expect("one that waits");
             self.queue.push(Request { admitted: now, ..request });
         }
-        for ticket in gate.hopeless(at(now)) {
+        for ticket in gate.take_unservable(at(now)) {
             self.waiting.remove(&(broker, ticket));
         }
     }
@@ -141,7 +141,7 @@
         let ended: Vec<_> = self.running.extract_if(.., |(end, _)| *end <= now).collect();
         let expired = self.queue.extract_if(.., |request| request.came + PATIENCE <= now);
         for request in expired {
-            let late = Ended::Late { parts: None };
+            let late = RequestOutcome::Late { parts: None };
             self.gates[request.broker].finish(at(now), &OverloadGateSettings::default(), late);
         }
         for (_, request) in ended {
@@ -149,8 +149,8 @@
             let was_late = request.admitted - request.came > TARGET - WORK;
             let since = if was_late { request.admitted } else { request.came };
             let ended = match now - since <= TARGET {
-                true => Ended::InTime,
-                false => Ended::Late { parts: None },
+                true => RequestOutcome::InTime,
+                false => RequestOutcome::Late { parts: None },
             };
             self.gates[request.broker].finish(at(now), &OverloadGateSettings::default(), ended);
         }
@@ -231,20 +231,20 @@
 
 /// A broker to which a large tenant sends ten requests a second, of which one and a half begin, and twenty
 /// small ones together one in a second.
-fn busy_line(until_s: u64) -> WaitingLine {
-    let mut line = WaitingLine::default();
+fn busy_line(until_s: u64) -> AdmissionQueue {
+    let mut line = AdmissionQueue::default();
     let (large, other) =
         (waiting(RANK, Some(tenant(20, 10))), |number| waiting(RANK, Some(tenant(number, 1))));
     for tenth in 0..until_s * 10 {
         let now = at(tenth * 100);
-        line.came(now, &large);
+        line.record_arrival(now, &large);
         if tenth % 10 == 0 {
             let small = other((tenth / 10 % 20) as usize);
-            line.came(now, &small);
-            line.begun(&small);
+            line.record_arrival(now, &small);
+            line.record_start(&small);
         }
         if [0, 7, 13].contains(&(tenth % 20)) {
-            line.begun(&large);
+            line.record_start(&large);
         }
     }
     line
@@ -258,13 +258,13 @@
     let mut line = busy_line(seconds);
     let now = at(seconds * 1_000);
     let (rare, large) = (waiting(RANK, Some(tenant(7, 1))), waiting(RANK, Some(tenant(20, 10))));
-    line.came(now, &rare);
+    line.record_arrival(now, &rare);
     let ticket = line.join(rare);
     for _ in 0..50 {
-        line.came(now, &large);
+        line.record_arrival(now, &large);
         line.join(large);
     }
-    assert!(line.goes_first(&rare) && !line.goes_first(&large));
+    assert!(line.is_within_share(&rare) && !line.is_within_share(&large));
     assert_eq!(line.take(now, |_| true).map(|(first, _)| first), Some(ticket));
 }
 
@@ -272,31 +272,34 @@
 fn each_priority_has_shares_of_its_own() {
     let line = busy_line(10);
     let lower = waiting(RANK + 1, Some(tenant(20, 10)));
-    assert!(line.goes_first(&lower), "nobody went without there");
-    assert!(!line.goes_first(&waiting(RANK, None)), "whose tenant is not known waits as before");
+    assert!(line.is_within_share(&lower), "nobody went without there");
+    assert!(
+        !line.is_within_share(&waiting(RANK, None)),
+        "whose tenant is not known waits as before"
+    );
 }
 
 #[test]
 fn where_nothing_begins_nobody_is_held_in_vain() {
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     let request = |number| waiting(RANK, Some(tenant(number, 1)));
     for step in 0..40 {
-        line.came(at(step * 100), &request((step % 4) as usize));
+        line.record_arrival(at(step * 100), &request((step % 4) as usize));
     }
-    assert!((0..4).all(|number| !line.goes_first(&request(number))));
+    assert!((0..4).all(|number| !line.is_within_share(&request(number))));
 }
 
 #[test]
 fn a_tenant_that_has_come_to_rest_is_forgiven() {
     let mut line = busy_line(10);
     let (large, small) = (waiting(RANK, Some(tenant(20, 10))), waiting(RANK, Some(tenant(1, 1))));
-    assert!(!line.goes_first(&large));
+    assert!(!line.is_within_share(&large));
     for second in 10..60 {
-        line.came(at(second * 1_000), &small);
-        line.begun(&small);
+        line.record_arrival(at(second * 1_000), &small);
+        line.record_start(&small);
     }
-    line.came(at(60_000), &large);
-    assert!(line.goes_first(&large));
+    line.record_arrival(at(60_000), &large);
+    assert!(line.is_within_share(&large));
 }
 
 /// Ten of the large tenant wait, two small ones, and three of higher priority.
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -6,10 +6,11 @@
 
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{
-    Admitted, AfterAttempt, AttemptError, Candidate, Choice, Connectivity, Distance, Ended,
+    AdmissionDecision, AfterAttempt, AttemptError, Candidate, Choice, Connectivity, Distance,
     ExecutionEvidence, ExtraLoadBudget, ExtraLoadShare, GatherStep, GatherTimes, Gathering,
-    MisdirectedRequests, NobodyReason, Outcome, OverloadGate, OverloadGateSettings, ReplicaSet,
-    ReplicaSettings, RequestAttempts, RequestFailure, Selection, TicketNumber, hedge_delay,
+    MisdirectedRequests, NoLeafReason, Outcome, OverloadGate, OverloadGateSettings, ReplicaSet,
+    ReplicaSettings, RequestAttempts, RequestFailure, RequestOutcome, Selection, TicketNumber,
+    hedge_delay,
 };
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::tail::LatencyWindow;
@@ -85,15 +86,15 @@
     pub fn leaves_to_check(&mut self, now: Timestamp) -> Vec<LeafIdentity> {
         let settings = &self.replica_settings;
         let replicas = self.replicas.values_mut();
-        replicas.flat_map(|known| known.look_after_missing(now, settings).to_check).collect()
+        replicas.flat_map(|known| known.check_unresponsive(now, settings).to_check).collect()
     }
 
     /// What came of such a connection.
     pub fn checked(&mut self, now: Timestamp, service: usize, leaf: &LeafIdentity, taken: bool) {
         let settings = &self.replica_settings;
         match self.replicas.get_mut(&service) {
-            Some(replicas) if taken => replicas.took_connection(now, settings, leaf),
-            Some(replicas) => replicas.refused_connection(leaf),
+            Some(replicas) if taken => replicas.record_connection_accepted(now, settings, leaf),
+            Some(replicas) => replicas.record_connection_refused(leaf),
             None => {}
         }
     }
@@ -138,12 +139,12 @@
         };
         let settings = self.gate_settings;
         match self.gate(kind).enter(now, &settings, candidate) {
-            Admitted::Yes => self.begin(now, kind, waiting, &mut actions),
-            Admitted::Waits(ticket) => {
+            AdmissionDecision::Admitted => self.begin(now, kind, waiting, &mut actions),
+            AdmissionDecision::Queued(ticket) => {
                 self.waiting.insert((kind, ticket), waiting);
                 actions.push(Action::Wake(ADMISSION_WAIT, Timer::Admission(kind, ticket)));
             }
-            Admitted::No(_) => actions.push(Action::End(number, Ending::NotRun)),
+            AdmissionDecision::Refused(_) => actions.push(Action::End(number, Ending::NotRun)),
         }
         actions
     }
@@ -172,12 +173,12 @@
     fn admit_next(&mut self, now: Timestamp, kind: RouteKind, actions: &mut Vec<Action>) {
         let settings = self.gate_settings;
         while let Some(ticket) = self.gate(kind).next(now, &settings) {
-            self.gate(kind).begun(ticket);
+            self.gate(kind).confirm_admission(ticket);
             if let Some(waiting) = self.waiting.remove(&(kind, ticket)) {
                 self.begin(now, kind, waiting, actions);
             }
         }
-        for ticket in self.gate(kind).hopeless(now) {
+        for ticket in self.gate(kind).take_unservable(now) {
             if let Some(waiting) = self.waiting.remove(&(kind, ticket)) {
                 actions.push(Action::End(waiting.number, Ending::NotRun));
             }
@@ -313,7 +314,7 @@
         request.parts[part].came = Some(came);
         if let Some(gathering) = &mut request.gathering {
             let counts = came || self.mutant == Some(Mutant::FailedPartsCount);
-            gathering.part(now, counts);
+            gathering.record_part(now, counts);
         }
         self.give_up_attempts(now, number, request, part, actions);
     }
@@ -337,7 +338,7 @@
                 return;
             }
             Selection::Wait { otherwise } => otherwise,
-            Selection::Nobody(_) => None,
+            Selection::NoLeaf(_) => None,
         };
         // A hedge to a leaf that is late itself is hardly ever the first to answer.
         let choice = choice.filter(|choice| choice.sound || !hedge);
@@ -367,7 +368,7 @@
         };
         let random = &mut self.random;
         let Some(replicas) = self.replicas.get(&part.service) else {
-            return Selection::Nobody(NobodyReason::NoneListed);
+            return Selection::NoLeaf(NoLeafReason::NoneListed);
         };
         let tried = part.attempts.tried();
         replicas.choose(now, &self.replica_settings, tried, reach, || random.random())
@@ -427,7 +428,7 @@
         }
         let replicas = self.replicas.get_mut(&asked.service);
         if let (Some(replicas), Some(leaf)) = (replicas, asked.attempts.newest_open()) {
-            replicas.late(now, &self.replica_settings, leaf);
+            replicas.mark_late(now, &self.replica_settings, leaf);
         }
         self.ask(now, number, request, part, true, actions);
     }
@@ -478,8 +479,8 @@
         let parts = request.gathering.as_ref().map(Gathering::in_time);
         let in_time = now.since(request.admitted) <= TARGET;
         let ended = match &ending {
-            Ending::Answered(_) if in_time => Ended::InTime,
-            _ => Ended::Late { parts },
+            Ending::Answered(_) if in_time => RequestOutcome::InTime,
+            _ => RequestOutcome::Late { parts },
         };
         let settings = self.gate_settings;
         self.gate(request.kind).finish(now, &settings, ended);
@@ -533,7 +534,7 @@
                 let settings = &self.replica_settings;
                 replicas.finish(now, settings, &leaf, Outcome::Abandoned(waited));
                 if waited >= silent {
-                    replicas.silent(now, settings, &leaf);
+                    replicas.mark_silent(now, settings, &leaf);
                 }
             }
             release(&mut self.in_use, &leaf);
