--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -239,7 +239,9 @@
         async |reader: &mut HttpReader| read_head(reader, method, id_name, &request.id).await;
     let (head, whole) =
         connection.exchange(bytes, reading).await.map_err(|_| AttemptError::Lost)?;
-    if let Some(report) = head.headers.text(state.dialect.load).and_then(state.dialect.read_load) {
+    if let Some(report) =
+        head.headers.text(state.dialect.load).and_then(state.dialect.parse_load_report)
+    {
         state.metrics.load_reported(report);
         state.leaves.reported(watch.service, watch.leaf, report);
     }
--- a/crates/broker/src/routes/dialect.rs
+++ b/crates/broker/src/routes/dialect.rs
@@ -20,7 +20,7 @@
     /// A leaf's word of its load.
     pub load: &'static str,
     /// Understands that word; none where it is not as agreed.
-    pub read_load: fn(&str) -> Option<LoadReport>,
+    pub parse_load_report: fn(&str) -> Option<LoadReport>,
     /// Marks an answer of a leaf that did not run the request.
     pub not_executed: &'static str,
     /// Name of the tenant that sent a request, for leaves.
@@ -41,7 +41,7 @@
             part_attestations: "gingerkeel-part-attestations",
             missing_parts: "gingerkeel-missing-parts",
             load: "gingerkeel-load",
-            read_load,
+            parse_load_report,
             not_executed: "gingerkeel-not-executed",
             tenant: "gingerkeel-tenant",
             key_scheme: "Bearer",
@@ -52,7 +52,7 @@
 
 /// Reads the product's own form of a leaf's load: `running,waiting,slots` or `running,waiting,slots,pace`, the pace in percent of the usual time
 /// that work takes on the leaf's machine.
-pub fn read_load(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut figures = text.split(',').map(|figure| figure.trim().parse().ok());
     let mut next = || figures.next().flatten();
     let (running, waiting, slots) = (next()?, next()?, next()?);
--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -45,7 +45,7 @@
 use tracing::{info, warn};
 
 pub use crash_watch::request_digest;
-pub use dialect::{Dialect, read_load};
+pub use dialect::{Dialect, parse_load_report};
 
 use crate::feed::{self, FeedInputs, RouteUpdate};
 use crate::reload;
--- a/crates/broker/tests/leaf_choice.rs
+++ b/crates/broker/tests/leaf_choice.rs
@@ -138,7 +138,7 @@
     #[case] text: &str,
     #[case] expected: Option<(u32, u32, u32, u32)>,
 ) {
-    let report = gingerkeel_broker::routes::read_load(text);
+    let report = gingerkeel_broker::routes::parse_load_report(text);
     let figures = |load: gingerkeel_domain::forwarding::LoadReport| {
         (load.running, load.waiting, load.slots, load.pace_percent)
     };
