--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -17,7 +17,7 @@
 use tracing::info;
 
 /// The gate of one destination, and whom to tell of an admission.
-struct Entrance {
+struct DestinationGate {
     gate: OverloadGate,
     /// Dropped unused when a request would wait in vain.
     waiting: BTreeMap<TicketNumber, oneshot::Sender<()>>,
@@ -27,13 +27,13 @@
 pub struct Admission {
     clock: Clock,
     settings: OverloadGateSettings,
-    entrances: RefCell<BTreeMap<ServiceName, Entrance>>,
+    gates: RefCell<BTreeMap<ServiceName, DestinationGate>>,
 }
 
 impl Admission {
     /// Nothing is limited but by what is not known yet.
     pub fn new(clock: Clock) -> Self {
-        Self { clock, settings: OverloadGateSettings::default(), entrances: RefCell::default() }
+        Self { clock, settings: OverloadGateSettings::default(), gates: RefCell::default() }
     }
 
     /// Waits until a request of a route may begin; [`Admission::finish`] has to follow when it may.
@@ -47,13 +47,13 @@
         let (ticket, admitted) = match self.join(service, candidate) {
             Admitted::Yes => return Ok(()),
             Admitted::No(retry_after) => return Err(retry_after),
-            Admitted::Waits(ticket) => (ticket, self.expect(service, ticket)),
+            Admitted::Waits(ticket) => (ticket, self.subscribe(service, ticket)),
         };
-        let mut wait = Wait { admission: self, service, ticket, is_over: false };
+        let mut wait = WaitGuard { admission: self, service, ticket, is_over: false };
         match timeout(self.clock.until(candidate.give_up_at), admitted).await {
             Ok(Ok(())) => {
                 wait.is_over = true;
-                self.begun(service, ticket);
+                self.confirm(service, ticket);
                 Ok(())
             }
             _ => Err(wait.end()),
@@ -61,46 +61,49 @@
     }
 
     fn join(&self, service: &ServiceName, candidate: Candidate) -> Admitted {
-        let mut entrances = self.entrances.borrow_mut();
-        let new = || Entrance { gate: OverloadGate::new(&self.settings), waiting: BTreeMap::new() };
-        let entrance = entrances.entry(service.clone()).or_insert_with(new);
-        entrance.gate.enter(self.clock.now(), &self.settings, candidate)
+        let mut gates = self.gates.borrow_mut();
+        let new = || DestinationGate {
+            gate: OverloadGate::new(&self.settings),
+            waiting: BTreeMap::new(),
+        };
+        let destination = gates.entry(service.clone()).or_insert_with(new);
+        destination.gate.enter(self.clock.now(), &self.settings, candidate)
     }
 
     /// Told once a request that waits is admitted; fails once it would wait in vain.
-    fn expect(&self, service: &ServiceName, ticket: TicketNumber) -> oneshot::Receiver<()> {
+    fn subscribe(&self, service: &ServiceName, ticket: TicketNumber) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
-        if let Some(entrance) = self.entrances.borrow_mut().get_mut(service) {
-            entrance.waiting.insert(ticket, sender);
+        if let Some(destination) = self.gates.borrow_mut().get_mut(service) {
+            destination.waiting.insert(ticket, sender);
         }
         receiver
     }
 
-    fn begun(&self, service: &ServiceName, ticket: TicketNumber) {
-        if let Some(entrance) = self.entrances.borrow_mut().get_mut(service) {
-            entrance.gate.begun(ticket);
+    fn confirm(&self, service: &ServiceName, ticket: TicketNumber) {
+        if let Some(destination) = self.gates.borrow_mut().get_mut(service) {
+            destination.gate.begun(ticket);
         }
     }
 
     fn leave(&self, service: &ServiceName, ticket: TicketNumber) -> Duration {
-        let mut entrances = self.entrances.borrow_mut();
-        let Some(entrance) = entrances.get_mut(service) else {
+        let mut gates = self.gates.borrow_mut();
+        let Some(destination) = gates.get_mut(service) else {
             return Duration::ZERO;
         };
-        entrance.waiting.remove(&ticket);
-        let retry_after = entrance.gate.leave(self.clock.now(), &self.settings, ticket);
-        self.admit_next(entrance);
+        destination.waiting.remove(&ticket);
+        let retry_after = destination.gate.leave(self.clock.now(), &self.settings, ticket);
+        self.admit_next(destination);
         retry_after
     }
 
     /// A request of a route that was admitted has ended.
     pub fn finish(&self, route: &Route, ended: Ended) {
-        let mut entrances = self.entrances.borrow_mut();
+        let mut gates = self.gates.borrow_mut();
         let service = route.destination.representative();
-        let Some(entrance) = service.and_then(|service| entrances.get_mut(service)) else {
+        let Some(destination) = service.and_then(|service| gates.get_mut(service)) else {
             return;
         };
-        let gate = &mut entrance.gate;
+        let gate = &mut destination.gate;
         let limiting = gate.is_limiting();
         gate.finish(self.clock.now(), &self.settings, ended);
         if gate.is_limiting() != limiting {
@@ -108,47 +111,47 @@
             let route = &route.name;
             info!(event = "admission_changed", route, limited, in_flight, waiting);
         }
-        self.admit_next(entrance);
+        self.admit_next(destination);
     }
 
-    fn admit_next(&self, entrance: &mut Entrance) {
+    fn admit_next(&self, destination: &mut DestinationGate) {
         let now = self.clock.now();
-        while let Some(ticket) = entrance.gate.next(now, &self.settings) {
-            if let Some(admitted) = entrance.waiting.remove(&ticket) {
+        while let Some(ticket) = destination.gate.next(now, &self.settings) {
+            if let Some(admitted) = destination.waiting.remove(&ticket) {
                 // Whoever has ended its wait meanwhile says so itself.
                 let _ = admitted.send(());
             }
         }
-        for ticket in entrance.gate.hopeless(now) {
-            entrance.waiting.remove(&ticket);
+        for ticket in destination.gate.hopeless(now) {
+            destination.waiting.remove(&ticket);
         }
     }
 
     /// Whether leaves of a route run short of capacity while more requests come than end.
     pub fn is_overrun(&self, route: &Route) -> bool {
-        let entrances = self.entrances.borrow();
+        let gates = self.gates.borrow();
         let service = route.destination.representative();
-        let entrance = service.and_then(|service| entrances.get(service));
-        entrance.is_some_and(|entrance| entrance.gate.is_overrun())
+        let destination = service.and_then(|service| gates.get(service));
+        destination.is_some_and(|destination| destination.gate.is_overrun())
     }
 }
 
 /// A request that waits. When its caller leaves, it does as well.
-struct Wait<'admission> {
+struct WaitGuard<'admission> {
     admission: &'admission Admission,
     service: &'admission ServiceName,
     ticket: TicketNumber,
     is_over: bool,
 }
 
-impl Wait<'_> {
+impl WaitGuard<'_> {
     fn end(&mut self) -> Duration {
         self.is_over = true;
         self.admission.leave(self.service, self.ticket)
     }
 }
 
-impl Drop for Wait<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         if !self.is_over {
             self.end();
--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -28,13 +28,13 @@
 /// Bytes of a leaf's head.
 const HEAD_LIMIT: usize = 32 * 1024;
 /// Bytes of a reply that are held before they are handed on; a longer reply is streamed.
-const HELD_BYTES: usize = 64 * 1024;
+const BUFFERED_REPLY_BYTES: usize = 64 * 1024;
 /// Bytes that a usual head of a caller needs as leaves get it.
 const FORWARDED_HEAD_BYTES: usize = 256;
 /// Bytes that the fields need which differ from leaf to leaf, with the end of the head.
 const OWN_FIELD_BYTES: usize = 128;
 /// Replies to other requests that are passed over on one connection.
-const STRAY_REPLIES: usize = 2;
+const MAX_STALE_REPLIES: usize = 2;
 
 /// A caller's request as it goes to leaves.
 pub struct ForwardedRequest {
@@ -62,7 +62,7 @@
 }
 
 impl ForwardedRequest {
-    fn note(&self, change: impl FnOnce(&mut ExecutionEvidence)) {
+    fn update_evidence(&self, change: impl FnOnce(&mut ExecutionEvidence)) {
         let mut evidence = self.evidence.get();
         change(&mut evidence);
         self.evidence.set(evidence);
@@ -115,7 +115,7 @@
 }
 
 /// Counts an attempt as ended, however it ends.
-struct Watch<'state> {
+struct AttemptGuard<'state> {
     state: &'state RouteState,
     service: &'state ServiceName,
     leaf: &'state LeafIdentity,
@@ -127,21 +127,25 @@
     outcome: Option<Outcome>,
 }
 
-impl Watch<'_> {
+impl AttemptGuard<'_> {
     /// What a connection says of the leaf that was reset: where it is new and others are open, the
     /// leaf has as many as it accepts, and is as sound as before.
-    fn reset(&mut self) -> Outcome {
-        match self.is_new && self.state.leaves.connection_refused(self.leaf) {
+    fn reset_outcome(&mut self) -> Outcome {
+        match self.is_new && self.state.leaves.connection_reset(self.leaf) {
             true => Outcome::Rejected,
             false => Outcome::Failed,
         }
     }
 }
 
-impl Drop for Watch<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let given_up = || Outcome::Abandoned(self.started.elapsed());
-        self.state.leaves.finish(self.service, self.leaf, self.outcome.unwrap_or_else(given_up));
+        self.state.leaves.attempt_finished(
+            self.service,
+            self.leaf,
+            self.outcome.unwrap_or_else(given_up),
+        );
         if self.holds_connection {
             self.state.leaves.connection_closed(self.leaf);
         }
@@ -161,8 +165,8 @@
     request: &ForwardedRequest,
 ) -> Result<LeafReply, AttemptError> {
     let started = Instant::now();
-    state.leaves.begin(service, &leaf.identity);
-    let mut watch = Watch {
+    state.leaves.attempt_started(service, &leaf.identity);
+    let mut guard = AttemptGuard {
         state,
         service,
         leaf: &leaf.identity,
@@ -171,68 +175,71 @@
         is_new: false,
         outcome: None,
     };
-    let connection = connect(&mut watch, leaf).await?;
-    request.note(ExecutionEvidence::sent);
-    let outcome = exchange(&mut watch, connection, leaf, request).await;
+    let connection = connect(&mut guard, leaf).await?;
+    request.update_evidence(ExecutionEvidence::sent);
+    let outcome = exchange(&mut guard, connection, leaf, request).await;
     let status = outcome.as_ref().map(|reply| reply.head.status).map_err(|error| *error);
-    request.note(|evidence| evidence.heard(status));
-    watch.outcome = Some(match &outcome {
-        Ok(_) => Outcome::Answered(watch.started.elapsed()),
+    request.update_evidence(|evidence| evidence.heard(status));
+    guard.outcome = Some(match &outcome {
+        Ok(_) => Outcome::Answered(guard.started.elapsed()),
         Err(AttemptError::Rejected) => Outcome::Rejected,
         Err(AttemptError::AnotherLeaf) => Outcome::AddressTaken,
-        Err(AttemptError::Lost) => watch.reset(),
+        Err(AttemptError::Lost) => guard.reset_outcome(),
         Err(_) => Outcome::Failed,
     });
-    if watch.is_new && matches!(outcome, Ok(_) | Err(AttemptError::Rejected)) {
+    if guard.is_new && matches!(outcome, Ok(_) | Err(AttemptError::Rejected)) {
         state.leaves.connection_accepted(&leaf.identity);
     }
     if outcome.is_ok() {
-        state.record_latency(route, watch.started.elapsed());
+        state.record_latency(route, guard.started.elapsed());
     }
     outcome
 }
 
-async fn connect(watch: &mut Watch<'_>, leaf: &ListedLeaf) -> Result<LeafConnection, AttemptError> {
-    if let Some(connection) = watch.state.leaves.take_idle(watch.leaf) {
-        watch.holds_connection = true;
+async fn connect(
+    guard: &mut AttemptGuard<'_>,
+    leaf: &ListedLeaf,
+) -> Result<LeafConnection, AttemptError> {
+    if let Some(connection) = guard.state.leaves.take_idle(guard.leaf) {
+        guard.holds_connection = true;
         return Ok(connection);
     }
-    let limits = watch.state.service_limits(watch.service);
-    if !watch.state.leaves.admit_connection(limits.connections, leaf) {
+    let limits = guard.state.service_limits(guard.service);
+    if !guard.state.leaves.reserve_connection(limits.connections, leaf) {
         return Err(AttemptError::NoConnection);
     }
-    watch.holds_connection = true;
-    watch.is_new = true;
+    guard.holds_connection = true;
+    guard.is_new = true;
     let began = Instant::now();
     let connected = LeafConnection::connect(leaf.address).await;
     if connected.is_ok() {
-        watch.state.leaves.opened(leaf, began.elapsed());
+        guard.state.leaves.connection_opened(leaf, began.elapsed());
     }
     connected.map_err(|error| {
         let (outcome, error) = match error.kind() {
             ErrorKind::ConnectionReset => {
-                watch.state.leaves.took_connection(leaf);
-                (watch.reset(), AttemptError::NotAccepted)
+                guard.state.leaves.connect_succeeded(leaf);
+                (guard.reset_outcome(), AttemptError::NotAccepted)
             }
             ErrorKind::ConnectionRefused => {
-                watch.state.crashes.leaf_is_gone(&watch.state.metrics, &leaf.identity);
+                guard.state.crashes.leaf_is_gone(&guard.state.metrics, &leaf.identity);
                 (Outcome::ConnectionRefused, AttemptError::ConnectionRefused)
             }
             _ => (Outcome::Failed, AttemptError::NotConnected),
         };
-        watch.outcome = Some(outcome);
+        guard.outcome = Some(outcome);
         error
     })
 }
 
 async fn exchange(
-    watch: &mut Watch<'_>,
+    guard: &mut AttemptGuard<'_>,
     mut connection: LeafConnection,
     leaf: &ListedLeaf,
     request: &ForwardedRequest,
 ) -> Result<LeafReply, AttemptError> {
-    let state = watch.state;
-    let bytes = compose(&state.dialect, leaf, request);
+    let state = guard.state;
+    let bytes = encode_request(&state.dialect, leaf, request);
     let method = request.head.method.as_str();
     let id_name = state.dialect.request_id;
     let reading =
@@ -243,7 +250,7 @@
         head.headers.text(state.dialect.load).and_then(state.dialect.parse_load_report)
     {
         state.metrics.load_reported(report);
-        state.leaves.reported(watch.service, watch.leaf, report);
+        state.leaves.load_reported(guard.service, guard.leaf, report);
     }
     let framing = response_framing(method, &head).map_err(|_| AttemptError::Unusable)?;
     let mut decoder = BodyDecoder::new(framing);
@@ -262,11 +269,11 @@
         return Ok(LeafReply { leaf, head, head_only, framing, body, rest: Some(rest) });
     }
     if reusable && !another_leaf {
-        let stated = stated_keep(&head);
-        state.leaves.note_stated_keep(watch.service, stated);
-        connection.keep_for(stated);
-        state.leaves.give_back(watch.leaf, connection);
-        watch.holds_connection = false;
+        let stated = keep_alive_timeout(&head);
+        state.leaves.record_keep_alive_timeout(guard.service, stated);
+        connection.set_keep_alive(stated);
+        state.leaves.return_connection(guard.leaf, connection);
+        guard.holds_connection = false;
     }
     if another_leaf {
         // Nothing else is asked of whoever it is under the name of this leaf.
@@ -287,7 +294,7 @@
     id_name: &str,
     id: &[u8],
 ) -> Result<ResponseHead, ReadError> {
-    for _ in 0..=STRAY_REPLIES {
+    for _ in 0..=MAX_STALE_REPLIES {
         let head = reader.response_head(HEAD_LIMIT).await?;
         if (100..=199).contains(&head.status) {
             continue;
@@ -310,7 +317,7 @@
     decoder: &mut BodyDecoder,
 ) -> Result<Bytes, AttemptError> {
     let mut body = BytesMut::new();
-    while body.len() < HELD_BYTES {
+    while body.len() < BUFFERED_REPLY_BYTES {
         match reader.body_piece(decoder).await {
             Ok(Some(piece)) if body.is_empty() && decoder.is_done() => return Ok(piece),
             Ok(Some(piece)) => body.extend_from_slice(&piece),
@@ -329,7 +336,7 @@
 }
 
 /// How long the leaf says that it keeps an idle connection.
-fn stated_keep(head: &ResponseHead) -> Option<Duration> {
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
     let text = head.headers.text("keep-alive")?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
@@ -363,7 +370,7 @@
     bytes
 }
 
-fn compose(dialect: &Dialect, leaf: &ListedLeaf, request: &ForwardedRequest) -> Vec<u8> {
+fn encode_request(dialect: &Dialect, leaf: &ListedLeaf, request: &ForwardedRequest) -> Vec<u8> {
     let length = request.forwarded_head.len() + OWN_FIELD_BYTES + request.body.len();
     let mut bytes = Vec::with_capacity(length);
     bytes.extend_from_slice(&request.forwarded_head);
--- a/crates/broker/src/routes/authentication.rs
+++ b/crates/broker/src/routes/authentication.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerIdentity {
     /// Anybody: the configuration names no tenants, and the caller's fields go on as they are.
-    NotAsked,
+    Unchecked,
     /// Checked: a tenant, or nobody in particular on a public route.
     Checked(Option<Arc<Tenant>>),
 }
@@ -24,8 +24,8 @@
 pub struct UnknownKey;
 
 /// What a request shows of a key.
-enum Shown {
-    Nothing,
+enum PresentedKey {
+    Missing,
     Key(KeyDigest),
     /// Several keys.
     Ambiguous,
@@ -35,7 +35,7 @@
     /// The tenant, where it is known.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
-            Self::NotAsked => None,
+            Self::Unchecked => None,
             Self::Checked(tenant) => tenant.as_ref(),
         }
     }
@@ -58,25 +58,25 @@
     head: &RequestHead,
 ) -> Result<CallerIdentity, UnknownKey> {
     if !keys.is_required() {
-        return Ok(CallerIdentity::NotAsked);
+        return Ok(CallerIdentity::Unchecked);
     }
-    match shown_key(dialect, &head.headers) {
-        Shown::Key(key) => {
+    match presented_key(dialect, &head.headers) {
+        PresentedKey::Key(key) => {
             let holder = keys.holder(&key).ok_or(UnknownKey)?;
             Ok(CallerIdentity::Checked(Some(holder.clone())))
         }
-        Shown::Nothing if route.public => Ok(CallerIdentity::Checked(None)),
-        Shown::Nothing | Shown::Ambiguous => Err(UnknownKey),
+        PresentedKey::Missing if route.public => Ok(CallerIdentity::Checked(None)),
+        PresentedKey::Missing | PresentedKey::Ambiguous => Err(UnknownKey),
     }
 }
 
 /// The key that a request shows in the product's scheme; credentials of other schemes are none.
-fn shown_key(dialect: &Dialect, headers: &Headers) -> Shown {
+fn presented_key(dialect: &Dialect, headers: &Headers) -> PresentedKey {
     let mut keys = headers.all(AUTHORIZATION).filter_map(|value| key_of(dialect, value));
     match (keys.next(), keys.next()) {
-        (None, _) => Shown::Nothing,
-        (Some(key), None) => Shown::Key(KeyDigest::of(key)),
-        (Some(_), Some(_)) => Shown::Ambiguous,
+        (None, _) => PresentedKey::Missing,
+        (Some(key), None) => PresentedKey::Key(KeyDigest::of(key)),
+        (Some(_), Some(_)) => PresentedKey::Ambiguous,
     }
 }
 
--- a/crates/broker/src/routes/callers.rs
+++ b/crates/broker/src/routes/callers.rs
@@ -17,7 +17,7 @@
 use tracing::{info, warn};
 
 use super::attempt::{ForwardedRequest, LeafReply};
-use super::record::Record;
+use super::record::RequestRecord;
 use super::respond::{Refusal, RelayFraming, relayed_head};
 use super::serving::{Served, lacks_key, refuse_unread, serve};
 use super::state::RouteState;
@@ -31,11 +31,11 @@
 /// Bytes that are read and dropped after a refusal, so that it reaches the caller.
 const DISCARD_BYTES: usize = 1024 * 1024;
 /// Time for that.
-const DISCARD_LIMIT: Duration = Duration::from_secs(1);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes of further requests that are read ahead while one is served.
 const READ_AHEAD_BYTES: usize = 32 * 1024;
 /// Time that a caller has to take a part of its answer.
-const WRITE_LIMIT: Duration = Duration::from_secs(15);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Takes callers' connections.
 pub struct CallerServer {
@@ -45,7 +45,7 @@
 }
 
 /// Why a connection ends.
-enum End {
+enum ConnectionEnd {
     /// After the answer that was written, or without one.
     Closed,
     /// After this refusal.
@@ -102,7 +102,7 @@
     reader: HttpReader,
     writer: OwnedWriteHalf<TcpStream>,
     /// Whether the connection was made after a planned stop had begun.
-    came_during_stop: bool,
+    opened_during_stop: bool,
     _count: OpenCount,
 }
 
@@ -116,7 +116,7 @@
             stop: server.stop.clone(),
             reader: HttpReader::new(read_half),
             writer,
-            came_during_stop: server.state.is_stopping(),
+            opened_during_stop: server.state.is_stopping(),
             _count: OpenCount::new(&server.open),
         }
     }
@@ -125,13 +125,13 @@
         loop {
             match self.serve_one().await {
                 Ok(()) => {}
-                Err(End::Closed) => break,
-                Err(End::Refused(refusal)) => {
+                Err(ConnectionEnd::Closed) => break,
+                Err(ConnectionEnd::Refused(refusal)) => {
                     let written = self.refuse(refusal, false).await;
                     // The caller may be gone.
                     let _ = self.writer.shutdown().await;
                     if written.is_ok() {
-                        let _ = timeout(DISCARD_LIMIT, self.reader.discard(DISCARD_BYTES)).await;
+                        let _ = timeout(DISCARD_TIMEOUT, self.reader.discard(DISCARD_BYTES)).await;
                     }
                     return;
                 }
@@ -145,68 +145,72 @@
         self.state.table().map(|table| table.limits()).unwrap_or_default()
     }
 
-    async fn serve_one(&mut self) -> Result<(), End> {
+    async fn serve_one(&mut self) -> Result<(), ConnectionEnd> {
         self.wait_for_request().await?;
         let received = Instant::now();
         let limits = self.limits();
         let time = Duration::from_millis(limits.head_time_ms.into());
         let head = match timeout(time, self.reader.request_head(limits.head_bytes as usize)).await {
-            Err(_) => return Err(End::Refused(Refusal::Slow)),
+            Err(_) => return Err(ConnectionEnd::Refused(Refusal::Slow)),
             Ok(Ok(Some(head))) => head,
-            Ok(Ok(None)) => return Err(End::Closed),
-            Ok(Err(error)) => return Err(fault(&error)),
+            Ok(Ok(None)) => return Err(ConnectionEnd::Closed),
+            Ok(Err(error)) => return Err(connection_end(&error)),
         };
         if has_body(&head) && lacks_key(&self.state, &head) {
             return Err(self.refuse_unread(head, received));
         }
         let body = self.read_body(&head, limits).await?;
         let keep_alive = head.keeps_alive() && !self.state.is_stopping();
-        let request = self.understand(head, body, received);
+        let request = self.build_request(head, body, received);
         let (served, record) = self.serve_while_connected(request).await?;
         let keep_alive = keep_alive && !self.state.is_stopping();
         self.answer(served, keep_alive).await?;
         if let Some(record) = record {
             record.delivered();
         }
-        if keep_alive { Ok(()) } else { Err(End::Closed) }
+        if keep_alive { Ok(()) } else { Err(ConnectionEnd::Closed) }
     }
 
     /// Refuses a request whose body is not worth reading. The connection ends with it, or the body would
     /// be taken for the next request.
-    fn refuse_unread(&self, head: RequestHead, received: Instant) -> End {
-        let request = self.understand(head, Bytes::new(), received);
-        End::Refused(refuse_unread(&self.state, request))
+    fn refuse_unread(&self, head: RequestHead, received: Instant) -> ConnectionEnd {
+        let request = self.build_request(head, Bytes::new(), received);
+        ConnectionEnd::Refused(refuse_unread(&self.state, request))
     }
 
     /// Waits for the first byte of a request. A planned stop ends the wait: soon, unless the caller
     /// has come only since.
-    async fn wait_for_request(&mut self) -> Result<(), End> {
+    async fn wait_for_request(&mut self) -> Result<(), ConnectionEnd> {
         if !self.reader.is_empty() {
             return Ok(());
         }
         let idle = Duration::from_millis(self.limits().idle_time_ms.into());
-        let until = match self.came_during_stop {
+        let until = match self.opened_during_stop {
             true => PlannedStop::ends_by,
             false => PlannedStop::idle_until,
         };
         monoio::select! {
             count = self.reader.fill() => match count {
                 Ok(count) if count > 0 => Ok(()),
-                _ => Err(End::Closed),
+                _ => Err(ConnectionEnd::Closed),
             },
-            _ = sleep(idle) => Err(End::Closed),
-            _ = stop_reaches(&self.state, &self.stop, until) => Err(End::Closed),
+            _ = sleep(idle) => Err(ConnectionEnd::Closed),
+            _ = stop_phase_reached(&self.state, &self.stop, until) => Err(ConnectionEnd::Closed),
         }
     }
 
-    async fn read_body(&mut self, head: &RequestHead, limits: CallerLimits) -> Result<Bytes, End> {
+    async fn read_body(
+        &mut self,
+        head: &RequestHead,
+        limits: CallerLimits,
+    ) -> Result<Bytes, ConnectionEnd> {
         let framing = request_framing(&head.headers);
-        let framing = framing.map_err(|_| End::Refused(Refusal::Malformed))?;
+        let framing = framing.map_err(|_| ConnectionEnd::Refused(Refusal::Malformed))?;
         let limit = u64::from(limits.body_bytes);
         match framing {
             BodyFraming::None => return Ok(Bytes::new()),
             BodyFraming::Length(length) if length > limit => {
-                return Err(End::Refused(Refusal::BodyTooLarge));
+                return Err(ConnectionEnd::Refused(Refusal::BodyTooLarge));
             }
             _ => {}
         }
@@ -216,10 +220,10 @@
         let mut decoder = BodyDecoder::new(framing);
         let time = Duration::from_millis(limits.idle_time_ms.into());
         let reading = collect(&mut self.reader, &mut decoder, limit);
-        timeout(time, reading).await.unwrap_or(Err(End::Refused(Refusal::Slow)))
+        timeout(time, reading).await.unwrap_or(Err(ConnectionEnd::Refused(Refusal::Slow)))
     }
 
-    fn understand(&self, head: RequestHead, body: Bytes, received: Instant) -> ForwardedRequest {
+    fn build_request(&self, head: RequestHead, body: Bytes, received: Instant) -> ForwardedRequest {
         let dialect = &self.state.dialect;
         let stated = head.headers.text(dialect.deadline).and_then(|text| text.trim().parse().ok());
         let time = stated.map_or(DEFAULT_DEADLINE, Duration::from_millis);
@@ -244,10 +248,10 @@
     async fn serve_while_connected(
         &mut self,
         request: ForwardedRequest,
-    ) -> Result<(Served, Option<Record>), End> {
+    ) -> Result<(Served, Option<RequestRecord>), ConnectionEnd> {
         let (state, stop) = (self.state.clone(), self.stop.clone());
         let mut serving = std::pin::pin!(serve(&state, request));
-        let mut ending = std::pin::pin!(stop_reaches(&state, &stop, PlannedStop::answers_by));
+        let mut ending = std::pin::pin!(stop_phase_reached(&state, &stop, PlannedStop::answers_by));
         loop {
             if self.reader.buffered() > READ_AHEAD_BYTES {
                 return monoio::select! {
@@ -262,13 +266,13 @@
                 () = &mut ending => return Ok((Served::Refused(Refusal::TimedOut), None)),
                 count = self.reader.fill() => match count {
                     Ok(count) if count > 0 => {}
-                    _ => return Err(End::Closed),
+                    _ => return Err(ConnectionEnd::Closed),
                 },
             }
         }
     }
 
-    async fn answer(&mut self, served: Served, keep_alive: bool) -> Result<(), End> {
+    async fn answer(&mut self, served: Served, keep_alive: bool) -> Result<(), ConnectionEnd> {
         match served {
             Served::Merged(answer) => {
                 let bytes = answer.to_bytes(&self.state.dialect, keep_alive);
@@ -280,7 +284,7 @@
     }
 
     /// Relays a reply. One that is cut short ends the connection, so that it looks cut short.
-    async fn relay(&mut self, reply: LeafReply, keep_alive: bool) -> Result<(), End> {
+    async fn relay(&mut self, reply: LeafReply, keep_alive: bool) -> Result<(), ConnectionEnd> {
         let (mut bytes, framing) = relayed_head(&reply, keep_alive);
         add_piece(&mut bytes, &reply.body, framing);
         self.write(bytes).await?;
@@ -300,21 +304,21 @@
                 Ok(None) => return Ok(()),
                 Err(error) => {
                     info!(event = "reply_cut_short", leaf = %reply.leaf, %error);
-                    return Err(End::Closed);
+                    return Err(ConnectionEnd::Closed);
                 }
             }
         }
     }
 
-    async fn refuse(&mut self, refusal: Refusal, keep_alive: bool) -> Result<(), End> {
+    async fn refuse(&mut self, refusal: Refusal, keep_alive: bool) -> Result<(), ConnectionEnd> {
         let bytes = refusal.to_bytes(&self.state.dialect, keep_alive);
         self.write(bytes).await
     }
 
-    async fn write(&mut self, bytes: Vec<u8>) -> Result<(), End> {
-        match timeout(WRITE_LIMIT, self.writer.write_all(bytes)).await {
+    async fn write(&mut self, bytes: Vec<u8>) -> Result<(), ConnectionEnd> {
+        match timeout(WRITE_TIMEOUT, self.writer.write_all(bytes)).await {
             Ok((Ok(_), _)) => Ok(()),
-            _ => Err(End::Closed),
+            _ => Err(ConnectionEnd::Closed),
         }
     }
 }
@@ -325,7 +329,7 @@
 }
 
 /// Ends once a planned stop has come to this moment of its times.
-async fn stop_reaches(
+async fn stop_phase_reached(
     state: &RouteState,
     stop: &StopSignal,
     moment: impl Fn(&PlannedStop) -> Timestamp,
@@ -340,25 +344,25 @@
     reader: &mut HttpReader,
     decoder: &mut BodyDecoder,
     limit: u64,
-) -> Result<Bytes, End> {
+) -> Result<Bytes, ConnectionEnd> {
     let mut body = BytesMut::new();
     loop {
         match reader.body_piece(decoder).await {
             Ok(Some(piece)) => body.extend_from_slice(&piece),
             Ok(None) => return Ok(body.freeze()),
-            Err(error) => return Err(fault(&error)),
+            Err(error) => return Err(connection_end(&error)),
         }
         if body.len() as u64 > limit {
-            return Err(End::Refused(Refusal::BodyTooLarge));
+            return Err(ConnectionEnd::Refused(Refusal::BodyTooLarge));
         }
     }
 }
 
-fn fault(error: &ReadError) -> End {
+fn connection_end(error: &ReadError) -> ConnectionEnd {
     match error {
-        ReadError::Fault(HeadFault::TooLarge(_)) => End::Refused(Refusal::HeadTooLarge),
-        ReadError::Fault(_) => End::Refused(Refusal::Malformed),
-        ReadError::Socket(_) | ReadError::CutShort => End::Closed,
+        ReadError::Fault(HeadFault::TooLarge(_)) => ConnectionEnd::Refused(Refusal::HeadTooLarge),
+        ReadError::Fault(_) => ConnectionEnd::Refused(Refusal::Malformed),
+        ReadError::Socket(_) | ReadError::CutShort => ConnectionEnd::Closed,
     }
 }
 
--- a/crates/broker/src/routes/cold_shares.rs
+++ b/crates/broker/src/routes/cold_shares.rs
@@ -11,7 +11,7 @@
 
 /// Shares of cold leaves, forgotten with every change of brokers, leaves or rates: to find one takes a look at all
 /// brokers.
-pub struct ColdShares {
+pub struct ColdShareCache {
     /// The name of this broker.
     broker: BrokerName,
     /// The region of each zone.
@@ -19,14 +19,14 @@
     known: RefCell<BTreeMap<LeafIdentity, ColdShare>>,
 }
 
-impl ColdShares {
+impl ColdShareCache {
     /// No share is known yet.
     pub fn new(broker: BrokerName, zone_regions: BTreeMap<String, String>) -> Self {
         Self { broker, zone_regions, known: RefCell::default() }
     }
 
     /// What the shares depend on has changed.
-    pub fn forget(&self) {
+    pub fn invalidate(&self) {
         self.known.borrow_mut().clear();
     }
 
--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -62,7 +62,7 @@
     /// How carefully a request of a route is sent of which nothing speaks for caution. One to many shards goes to
     /// few leaves first, where there is time for it: nobody knows of a request that it crashes leaves until it
     /// has, and without this it takes a leaf of each shard with it.
-    pub fn usual_caution(&self, route: &Route) -> Caution {
+    pub fn default_caution(&self, route: &Route) -> Caution {
         let Destination::Shards(_) = route.destination else {
             return Caution::None;
         };
@@ -87,7 +87,7 @@
     }
 
     /// How long a request is refused, whatever else speaks for it; none where it may be sent, or a trial asked for.
-    pub fn refused_for(&self, route: &Route, request: &ForwardedRequest) -> Option<Duration> {
+    pub fn refusal_left(&self, route: &Route, request: &ForwardedRequest) -> Option<Duration> {
         let now = self.clock.now();
         match self.treatment(now, route, request) {
             Treatment::Refused { until } => Some(until.since(now).min(LONGEST_WAIT)),
@@ -104,34 +104,34 @@
         &self,
         route: &Route,
         request: &ForwardedRequest,
-        usual: Caution,
+        default: Caution,
     ) -> Result<Caution, Duration> {
         let now = self.clock.now();
         match self.treatment(now, route, request) {
-            Treatment::Usual => Ok(usual),
+            Treatment::Usual => Ok(default),
             Treatment::Canary => Ok(Caution::Canary),
             Treatment::Suspected => Ok(Caution::OneAtATime),
             Treatment::Refused { until } => Err(until.since(now).min(LONGEST_WAIT)),
             Treatment::TrialDue if self.is_trial_granted(request).await => Ok(Caution::Trial),
-            Treatment::TrialDue => Err(self.refused_for(route, request).unwrap_or(TRIAL_PAUSE)),
+            Treatment::TrialDue => Err(self.refusal_left(route, request).unwrap_or(TRIAL_PAUSE)),
         }
     }
 
     fn treatment(&self, now: Timestamp, route: &Route, request: &ForwardedRequest) -> Treatment {
-        let look =
+        let query =
             |suspects: &mut CrashSuspects, digest| suspects.treatment(now, &route.name, digest);
-        self.look_at(request, look).unwrap_or(Treatment::Usual)
+        self.with_suspects(request, query).unwrap_or(Treatment::Usual)
     }
 
     /// Looks at what is held of a request; none while nothing is held of any: a digest takes time, and no request pays
     /// for it then.
-    fn look_at<T>(
+    fn with_suspects<T>(
         &self,
         request: &ForwardedRequest,
-        look: impl FnOnce(&mut CrashSuspects, RequestDigest) -> T,
+        query: impl FnOnce(&mut CrashSuspects, RequestDigest) -> T,
     ) -> Option<T> {
         let mut suspects = self.suspects.borrow_mut();
-        (!suspects.is_empty()).then(|| look(&mut suspects, request.digest()))
+        (!suspects.is_empty()).then(|| query(&mut suspects, request.digest()))
     }
 
     /// Reports a finding, or asks for a trial with this number.
@@ -168,7 +168,7 @@
     }
 
     /// The control tier has these in its replicated state.
-    pub fn recorded(&self, findings: &[CrashFinding], is_whole: bool) {
+    pub fn apply_recorded_findings(&self, findings: &[CrashFinding], is_whole: bool) {
         let now = self.clock.now();
         if self.suspects.borrow_mut().recorded(now, findings, is_whole) {
             findings.iter().for_each(|finding| log_finding(finding, "control"));
@@ -184,7 +184,8 @@
     /// Whether a request is to be sent to nobody, as this or another broker found.
     pub fn is_refused(&self, request: &ForwardedRequest) -> bool {
         let now = self.clock.now();
-        self.look_at(request, |suspects, digest| suspects.is_refused(now, digest)).unwrap_or(false)
+        self.with_suspects(request, |suspects, digest| suspects.is_refused(now, digest))
+            .unwrap_or(false)
     }
 
     /// A request was given up while it was under way.
@@ -232,7 +233,7 @@
 
     /// A leaf has replied to a request.
     pub fn replied(&self, request: &ForwardedRequest) {
-        let Some(held) = self.look_at(request, CrashSuspects::replied).flatten() else {
+        let Some(held) = self.with_suspects(request, CrashSuspects::replied).flatten() else {
             return;
         };
         info!(event = "crash_suspicion_cleared", digest = %held.digest);
@@ -242,7 +243,7 @@
     }
 
     /// Other brokers' findings.
-    pub fn told(&self, findings: &[CrashFinding]) {
+    pub fn apply_peer_findings(&self, findings: &[CrashFinding]) {
         let now = self.clock.now();
         for finding in findings {
             if self.suspects.borrow_mut().told(now, finding) {
@@ -253,7 +254,7 @@
 
     /// Forgets what has ended, and logs which routes have begun or ceased to send each request to few leaves first
     /// because leaves have ended under their requests.
-    pub fn look_at_routes(&self) {
+    pub fn refresh_canary_routes(&self) {
         let current = self.suspects.borrow_mut().canary_routes(self.clock.now());
         let mut known = self.canary_routes.borrow_mut();
         for route in current.difference(&known) {
--- a/crates/broker/src/routes/extra_load.rs
+++ b/crates/broker/src/routes/extra_load.rs
@@ -22,7 +22,7 @@
     budget: ExtraLoadBudget,
     totals: ExtraLoadTotals,
     /// When it was last told that the budget is spent.
-    told: Option<Timestamp>,
+    last_reported: Option<Timestamp>,
 }
 
 impl ExtraLoad {
@@ -47,15 +47,15 @@
     }
 
     /// The totals, where it was not told for `interval` that the budget is spent.
-    pub(super) fn tell_spent(
+    pub(super) fn report_spent(
         &mut self,
         now: Timestamp,
         interval: Duration,
     ) -> Option<ExtraLoadTotals> {
-        if self.told.is_some_and(|told| now.since(told) < interval) {
+        if self.last_reported.is_some_and(|last_reported| now.since(last_reported) < interval) {
             return None;
         }
-        self.told = Some(now);
+        self.last_reported = Some(now);
         Some(self.totals)
     }
 }
--- a/crates/broker/src/routes/extra_load/tests.rs
+++ b/crates/broker/src/routes/extra_load/tests.rs
@@ -13,10 +13,10 @@
 #[test]
 fn a_spent_budget_is_told_once_a_window() {
     let mut load = ExtraLoad::default();
-    assert!(load.tell_spent(at(0), WINDOW).is_some());
-    assert_eq!(load.tell_spent(at(9), WINDOW), None, "within the window of the first");
-    assert!(load.tell_spent(at(10), WINDOW).is_some());
-    assert_eq!(load.tell_spent(at(19), WINDOW), None);
+    assert!(load.report_spent(at(0), WINDOW).is_some());
+    assert_eq!(load.report_spent(at(9), WINDOW), None, "within the window of the first");
+    assert!(load.report_spent(at(10), WINDOW).is_some());
+    assert_eq!(load.report_spent(at(19), WINDOW), None);
 }
 
 #[test]
@@ -28,6 +28,6 @@
     assert!(load.take(&share, at(0)));
     assert!(!load.take(&share, at(0)));
     load.cover(&share, at(0));
-    let told = load.tell_spent(at(0), WINDOW);
+    let told = load.report_spent(at(0), WINDOW);
     assert_eq!(told, Some(ExtraLoadTotals { first: 2, extra: 2, refused: 1 }));
 }
--- a/crates/broker/src/routes/gather.rs
+++ b/crates/broker/src/routes/gather.rs
@@ -13,9 +13,9 @@
 use monoio::time::sleep;
 
 use super::attempt::{ForwardedRequest, LeafReply};
-use super::attempts::{CANARY_WAIT, Parts, ask};
+use super::attempts::{CANARY_WAIT, FanOut, call_service};
 use super::respond::{MergedAnswer, Refusal};
-use super::serving::unanswered;
+use super::serving::refusal_without_answer;
 use super::state::RouteState;
 
 /// When a caller is asked to come back after too many shards could not be asked.
@@ -28,17 +28,17 @@
 const LONGEST_CANARY_SHARE: f64 = 0.4;
 
 /// The parts of one answer that are in.
-struct Gathered {
+struct GatherState {
     /// When the answer leaves with the parts that are in.
-    soft: Timestamp,
+    soft_deadline: Timestamp,
     /// Whether it had not enough parts by then.
-    waited_on: bool,
+    soft_deadline_passed: bool,
     gathering: Gathering,
     attestations: Vec<Vec<u8>>,
     records: GreatestRecords,
 }
 
-impl Gathered {
+impl GatherState {
     fn new(
         state: &RouteState,
         route: &Route,
@@ -48,18 +48,18 @@
         let target = Duration::from_millis(route.target_latency_ms);
         let received = state.clock.at(request.received);
         let deadline = state.clock.at(request.deadline);
-        let soft = state.soft_moment(received, target);
+        let soft = state.soft_deadline(received, target);
         let times = GatherTimes { received, soft: soft.min(deadline), deadline };
         Self {
-            soft,
-            waited_on: false,
+            soft_deadline: soft,
+            soft_deadline_passed: false,
             gathering: Gathering::new(shards.services.len(), shards.least_share, times),
             attestations: Vec::new(),
             records: GreatestRecords::new(shards.greatest as usize),
         }
     }
 
-    fn take(&mut self, state: &RouteState, outcome: Option<LeafReply>) {
+    fn add_part(&mut self, state: &RouteState, outcome: Option<LeafReply>) {
         let attested = outcome.and_then(|reply| Some((attestation(state, &reply)?, reply)));
         self.gathering.part(state.clock.now(), attested.is_some());
         if let Some((attestation, reply)) = attested {
@@ -76,7 +76,7 @@
     ) -> Result<MergedAnswer, Refusal> {
         if !self.gathering.reaches_least_share() {
             let time_is_over = Instant::now() >= request.deadline;
-            return Err(match unanswered(request, time_is_over, RETRY_AFTER) {
+            return Err(match refusal_without_answer(request, time_is_over, RETRY_AFTER) {
                 // It has run, and coming back soon would cost further leaves.
                 Refusal::NotRun { .. } if is_suspected => Refusal::NoReply,
                 refusal => refusal,
@@ -85,7 +85,7 @@
         let missing = self.gathering.missing();
         let records = self.records.into_bytes();
         // A timer that was late is a part of what the answer took.
-        let due = if self.waited_on { now } else { now.min(self.soft) };
+        let due = if self.soft_deadline_passed { now } else { now.min(self.soft_deadline) };
         Ok(MergedAnswer { attestations: self.attestations, missing, records, due })
     }
 }
@@ -98,7 +98,7 @@
 
 /// All services, beginning with the one that the `draw` from 0 to 1 falls on: requests that go to few leaves
 /// first spread over the shards.
-fn in_turn(services: &[ServiceName], draw: f64) -> impl ExactSizeIterator<Item = &ServiceName> {
+fn rotated(services: &[ServiceName], draw: f64) -> impl ExactSizeIterator<Item = &ServiceName> {
     let first = (draw * services.len() as f64) as usize;
     (0..services.len()).map(move |place| &services[(first + place) % services.len()])
 }
@@ -123,45 +123,45 @@
     request: &ForwardedRequest,
     caution: Caution,
 ) -> Result<MergedAnswer, Refusal> {
-    let mut gathered = Gathered::new(state, route, shards, request);
-    let parts = Parts::new(state, route, gathered.gathering.spare(), caution);
+    let mut gathered = GatherState::new(state, route, shards, request);
+    let fan_out = FanOut::new(state, route, gathered.gathering.spare(), caution);
     let mut running = FuturesUnordered::new();
-    let mut waiting = in_turn(&shards.services, state.draw());
+    let mut waiting = rotated(&shards.services, state.draw());
     // When all leaves were asked, or those that were left of them.
     let mut all_asked = None;
     let canary_time = canary_time(state, route);
     let mut canaries_until = state.clock.now().after(canary_time);
-    let ask_for = |service| ask(state, route, service, request, &parts);
+    let ask_for = |service| call_service(state, route, service, request, &fan_out);
     loop {
         // A request that may crash leaves goes to few of them first.
         let now = state.clock.now();
-        if now >= canaries_until && parts.room().is_some() {
-            parts.canaries_are_late();
+        if now >= canaries_until && fan_out.room().is_some() {
+            fan_out.canaries_are_late();
             canaries_until = now.after(canary_time);
         }
-        if parts.room().is_none() {
+        if fan_out.room().is_none() {
             all_asked.get_or_insert(now);
         }
-        let more = waiting.by_ref().take(parts.room().unwrap_or(usize::MAX));
+        let more = waiting.by_ref().take(fan_out.room().unwrap_or(usize::MAX));
         running.extend(more.map(ask_for));
-        parts.set_unasked(waiting.len());
+        fan_out.set_pending(waiting.len());
         let (in_time, whole) = gathered.gathering.in_time();
         request.trail.gathered(in_time, whole);
         let GatherStep::WaitUntil(wake) = gathered.gathering.step(now) else {
             break;
         };
-        let wake = match parts.room() {
+        let wake = match fan_out.room() {
             None => wake,
-            Some(_) if parts.is_suspected() => wake.min(now.after(CANARY_WAIT)),
+            Some(_) if fan_out.is_suspected() => wake.min(now.after(CANARY_WAIT)),
             Some(_) => wake.min(canaries_until),
         };
-        gathered.waited_on |= now >= gathered.soft;
-        if gathered.gathering.is_overdue(now) && !parts.overdue.is_given() {
-            parts.overdue.give();
+        gathered.soft_deadline_passed |= now >= gathered.soft_deadline;
+        if gathered.gathering.is_overdue(now) && !fan_out.overdue.is_given() {
+            fan_out.overdue.give();
         }
         monoio::select! {
             part = running.next() => if let Some(outcome) = part {
-                gathered.take(state, outcome);
+                gathered.add_part(state, outcome);
             },
             _ = sleep(state.clock.until(wake)) => {}
         }
@@ -171,5 +171,5 @@
     if let Some(asked) = all_asked.filter(|_| gathered.gathering.reaches_least_share()) {
         state.crashes.gathered(route, now.since(asked));
     }
-    gathered.finish(now, request, parts.is_suspected())
+    gathered.finish(now, request, fan_out.is_suspected())
 }
--- a/crates/broker/src/routes/known_leaves.rs
+++ b/crates/broker/src/routes/known_leaves.rs
@@ -35,7 +35,7 @@
     pub(super) replicas: ReplicaSet,
     pub(super) extra: ExtraLoad,
     /// How long leaves of the service say that they keep idle connections.
-    pub(super) stated_keep: Option<Duration>,
+    pub(super) keep_alive_timeout: Option<Duration>,
 }
 
 /// The list in force and what is known of its leaves.
--- a/crates/broker/src/routes/leaf_checks.rs
+++ b/crates/broker/src/routes/leaf_checks.rs
@@ -15,42 +15,42 @@
 use super::state::RouteState;
 
 /// Time between two looks at which leaves have missed.
-const ROUND: Duration = Duration::from_millis(200);
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 /// Time that a leaf has to take the connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time that a leaf which lost a connection has to take another one or refuse it, before its requests go on
 /// elsewhere: several times the way to another region and back.
-const FATE_LIMIT: Duration = Duration::from_millis(200);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Checks leaves that have missed or may have ended, for ever.
 pub async fn run(state: Rc<RouteState>) {
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         if state.is_stopping() {
             continue;
         }
         let given_up = state.crashes.take_unchecked();
         let given_up = given_up.iter().filter_map(|identity| state.leaves.leaf(identity));
-        for leaf in state.leaves.look_after_missing().into_iter().chain(given_up) {
+        for leaf in state.leaves.leaves_to_probe().into_iter().chain(given_up) {
             let state = state.clone();
-            monoio::spawn(async move { check(&state, leaf).await });
+            monoio::spawn(async move { probe(&state, leaf).await });
         }
     }
 }
 
 /// What became of a leaf that lost a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeafFate {
+pub enum Liveness {
     /// It takes another connection, or has as many as it accepts.
-    There,
+    Alive,
     /// Nobody listens at its address.
     Ended,
     /// Nothing was heard in time.
     Unknown,
 }
 
-impl LeafFate {
+impl Liveness {
     /// Whether the leaf counts as ended: in doubt where the request that was under way is `suspected` already.
     pub fn has_ended(self, suspected: bool) -> bool {
         self == Self::Ended || suspected && self == Self::Unknown
@@ -58,31 +58,31 @@
 }
 
 /// Finds out what became of a leaf that lost a connection.
-pub async fn fate_of(state: &RouteState, leaf: &ListedLeaf) -> LeafFate {
-    match timeout(FATE_LIMIT, check(state, leaf.clone())).await {
-        Ok(fate) => fate,
-        Err(_) => LeafFate::Unknown,
+pub async fn probe_liveness(state: &RouteState, leaf: &ListedLeaf) -> Liveness {
+    match timeout(LIVENESS_TIMEOUT, probe(state, leaf.clone())).await {
+        Ok(liveness) => liveness,
+        Err(_) => Liveness::Unknown,
     }
 }
 
 /// Opens a connection and closes it.
-async fn check(state: &RouteState, leaf: ListedLeaf) -> LeafFate {
-    match timeout(CONNECT_LIMIT, LeafConnection::connect(leaf.address)).await {
+async fn probe(state: &RouteState, leaf: ListedLeaf) -> Liveness {
+    match timeout(CONNECT_TIMEOUT, LeafConnection::connect(leaf.address)).await {
         Ok(Ok(_)) => {
-            state.leaves.took_connection(&leaf);
-            LeafFate::There
+            state.leaves.connect_succeeded(&leaf);
+            Liveness::Alive
         }
         // It has as many as it accepts.
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => {
-            state.leaves.took_connection(&leaf);
-            LeafFate::There
+            state.leaves.connect_succeeded(&leaf);
+            Liveness::Alive
         }
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            state.leaves.refused_connection(&leaf);
+            state.leaves.connect_refused(&leaf);
             state.crashes.leaf_is_gone(&state.metrics, &leaf.identity);
-            LeafFate::Ended
+            Liveness::Ended
         }
         // Silence is no sign of anything.
-        Ok(Err(_)) | Err(_) => LeafFate::Unknown,
+        Ok(Err(_)) | Err(_) => Liveness::Unknown,
     }
 }
--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -25,13 +25,13 @@
 use rand_pcg::Pcg64;
 use tracing::{info, warn};
 
-use super::cold_shares::ColdShares;
-use super::connection_book::ConnectionBook;
+use super::cold_shares::ColdShareCache;
+use super::connection_book::ConnectionPlanner;
 use super::extra_load::ExtraLoadTotals;
 use super::known_leaves::{Leaves, ServiceLimits};
 use super::pool::{LeafConnection, LeafPool};
 
-pub use choice::Asker;
+pub use choice::RequestContext;
 
 /// The leaves that a broker knows.
 pub struct LeafRegistry {
@@ -45,11 +45,11 @@
     leaves: RefCell<Leaves>,
     /// Zones whose leaves get no new work.
     evacuated: RefCell<BTreeSet<ZoneName>>,
-    connections: ConnectionBook,
+    connections: ConnectionPlanner,
     /// The brokers that share what leaves bear, those included that may be cut off; none while they are
     /// not known.
-    sharing: RefCell<Vec<KnownBroker>>,
-    cold_shares: ColdShares,
+    sharing_brokers: RefCell<Vec<KnownBroker>>,
+    cold_shares: ColdShareCache,
     /// What is to be reported of leaves.
     observations: RefCell<ObservationLog>,
     random: RefCell<Pcg64>,
@@ -67,7 +67,7 @@
         let zone_regions = settings.zone_regions.clone();
         Self {
             clock,
-            connections: ConnectionBook::new(name.clone(), zone.clone(), zone_regions.clone()),
+            connections: ConnectionPlanner::new(name.clone(), zone.clone(), zone_regions.clone()),
             zone,
             zone_regions: zone_regions.clone(),
             extra,
@@ -78,8 +78,8 @@
             },
             leaves: RefCell::default(),
             evacuated: RefCell::default(),
-            sharing: RefCell::default(),
-            cold_shares: ColdShares::new(name, zone_regions),
+            sharing_brokers: RefCell::default(),
+            cold_shares: ColdShareCache::new(name, zone_regions),
             observations: RefCell::default(),
             random: RefCell::new(Pcg64::seed_from_u64(seed)),
         }
@@ -101,7 +101,7 @@
         if directory.version() >= leaves.directory.version() {
             leaves.directory = directory;
             let all: Vec<ListedLeaf> = leaves.directory.leaves().values().cloned().collect();
-            self.list(&mut leaves, &all);
+            self.apply_listing(&mut leaves, &all);
         }
     }
 
@@ -109,7 +109,7 @@
     pub fn change_directory(&self, delta: &DirectoryDelta) {
         let mut leaves = self.leaves.borrow_mut();
         if leaves.directory.apply(delta) {
-            self.list(&mut leaves, &delta.changed);
+            self.apply_listing(&mut leaves, &delta.changed);
         } else if delta.base > leaves.directory.version() {
             let held = leaves.directory.version().0;
             warn!(event = "directory_gap", held, base = delta.base.0);
@@ -119,13 +119,13 @@
     /// The brokers that share the leaves.
     pub fn set_brokers(&self, brokers: Vec<KnownBroker>) {
         self.connections.set_brokers(&brokers);
-        self.forget_cold_shares();
-        *self.sharing.borrow_mut() = brokers;
+        self.invalidate_cold_shares();
+        *self.sharing_brokers.borrow_mut() = brokers;
     }
 
     /// Leaves of these zones get no new work; those of all other zones do. `cold_start` tells how the
     /// leaves of a service start.
-    pub fn evacuate(
+    pub fn set_evacuated_zones(
         &self,
         zones: BTreeSet<ZoneName>,
         cold_start: impl Fn(&ServiceName) -> ColdStart,
@@ -135,15 +135,15 @@
         if before == *evacuated {
             return;
         }
-        self.connections.forget_plans();
-        self.chill_restored(before.difference(&evacuated), cold_start);
+        self.connections.invalidate_plans();
+        self.mark_restored_cold(before.difference(&evacuated), cold_start);
         let named: Vec<&str> = evacuated.iter().map(ZoneName::as_str).collect();
         info!(event = "zones_evacuated", count = named.len(), zones = named.join(","));
     }
 
     /// Leaves of zones that are restored may have turned cold, and the list lags: they count as cold
     /// for as long as a leaf does after its start.
-    fn chill_restored<'zones>(
+    fn mark_restored_cold<'zones>(
         &self,
         zones: impl Iterator<Item = &'zones ZoneName>,
         cold_start: impl Fn(&ServiceName) -> ColdStart,
@@ -158,8 +158,8 @@
     }
 
     /// Connections are kept ready to other leaves from now on.
-    pub fn forget_plans(&self) {
-        self.connections.forget_plans();
+    pub fn invalidate_plans(&self) {
+        self.connections.invalidate_plans();
     }
 
     /// How many zones are evacuated.
@@ -168,14 +168,14 @@
     }
 
     /// Takes over what the list in force says of the leaves that are new or changed.
-    fn list(&self, leaves: &mut Leaves, changed: &[ListedLeaf]) {
+    fn apply_listing(&self, leaves: &mut Leaves, changed: &[ListedLeaf]) {
         let now = self.clock.now();
-        self.forget_cold_shares();
+        self.invalidate_cold_shares();
         let share = self.extra_share();
         let Leaves { directory, services, pools, cold, misdirected } = leaves;
         cold.forget_warm(now);
         for leaf in changed {
-            self.connections.forget_plan(&leaf.service);
+            self.connections.invalidate_plan(&leaf.service);
             if leaf.cold_ms > 0 {
                 cold.chill(&leaf.identity, now.after(Duration::from_millis(leaf.cold_ms)));
             }
@@ -191,7 +191,7 @@
             let listed = |identity: &LeafIdentity| directory.leaves().contains_key(identity);
             if !service.replicas.identities().all(listed) {
                 service.replicas.retain(listed);
-                self.connections.forget_plan(name);
+                self.connections.invalidate_plan(name);
             }
         }
         pools.retain(|identity, _| directory.leaves().contains_key(identity));
@@ -219,7 +219,7 @@
     }
 
     /// Whether a leaf is warm, or this broker may send it a request while it is cold.
-    fn has_room_while_cold(
+    fn is_within_cold_rate(
         &self,
         leaves: &Leaves,
         limits: ServiceLimits,
@@ -232,18 +232,18 @@
     }
 
     /// Services may state other rates for cold leaves.
-    pub fn forget_cold_shares(&self) {
-        self.cold_shares.forget();
+    pub fn invalidate_cold_shares(&self) {
+        self.cold_shares.invalidate();
     }
 
     /// What this broker may send to a cold leaf.
     fn cold_share(&self, limits: ServiceLimits, leaf: &ListedLeaf) -> ColdShare {
-        let brokers = self.sharing.borrow();
+        let brokers = self.sharing_brokers.borrow();
         self.cold_shares.of(limits.cold_start, leaf, self.age(), &brokers)
     }
 
     /// A request is about to be sent to a leaf.
-    pub fn sent(&self, leaf: &ListedLeaf, limits: ServiceLimits) {
+    pub fn request_sent(&self, leaf: &ListedLeaf, limits: ServiceLimits) {
         let now = self.clock.now();
         let limited = limits.cold_start.is_limited();
         if limited && self.leaves.borrow().cold.is_cold(now, &leaf.identity) {
@@ -276,7 +276,7 @@
     }
 
     /// A request for a service begins: it may be sent to one leaf.
-    pub fn earn(&self, service: &ServiceName) {
+    pub fn count_first_request(&self, service: &ServiceName) {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
         let state = leaves.services.entry(service.clone()).or_default();
@@ -292,22 +292,22 @@
             return false;
         };
         let taken = state.extra.take(&share, now);
-        if !taken && let Some(totals) = state.extra.tell_spent(now, self.extra.window) {
-            self.log_spent(service, totals);
+        if !taken && let Some(totals) = state.extra.report_spent(now, self.extra.window) {
+            self.log_extra_load_spent(service, totals);
         }
         taken
     }
 
     /// What this broker may send of the extra requests of any one service.
     fn extra_share(&self) -> ExtraLoadShare {
-        ExtraLoadShare::of(&self.extra, self.sharing.borrow().len())
+        ExtraLoadShare::of(&self.extra, self.sharing_brokers.borrow().len())
     }
 
     /// The totals of all brokers, and their difference from one line to the next, tell whose requests added up to
     /// too many.
-    fn log_spent(&self, service: &ServiceName, totals: ExtraLoadTotals) {
+    fn log_extra_load_spent(&self, service: &ServiceName, totals: ExtraLoadTotals) {
         let ExtraLoadTotals { first, extra, refused } = totals;
-        let brokers = self.sharing.borrow().len();
+        let brokers = self.sharing_brokers.borrow().len();
         let age_ms = self.age().as_millis() as u64;
         info!(event = "extra_load_spent", %service, first, extra, refused, brokers, age_ms);
     }
@@ -326,12 +326,12 @@
     }
 
     /// The leaves that were slow or failed since this was asked last.
-    pub fn take_slow(&self) -> Vec<LeafObservation> {
+    pub fn take_observations(&self) -> Vec<LeafObservation> {
         self.observations.borrow_mut().take(self.clock.now())
     }
 
     /// Many brokers find these leaves slow or failing.
-    pub fn warn(&self, warnings: &[LeafWarning]) {
+    pub fn apply_warnings(&self, warnings: &[LeafWarning]) {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
         let Leaves { directory, services, .. } = &mut *leaves;
@@ -347,33 +347,33 @@
     }
 
     /// An attempt begins.
-    pub fn begin(&self, service: &ServiceName, leaf: &LeafIdentity) {
+    pub fn attempt_started(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, _, _| replicas.begin(leaf));
     }
 
     /// An attempt has waited longer than expected.
-    pub fn late(&self, service: &ServiceName, leaf: &LeafIdentity) {
+    pub fn attempt_late(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, now, settings| replicas.late(now, settings, leaf));
     }
 
     /// An attempt got no answer at all.
-    pub fn silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
+    pub fn attempt_silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, now, settings| replicas.silent(now, settings, leaf));
     }
 
     /// A leaf said on an answer how loaded it is.
-    pub fn reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
+    pub fn load_reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
         self.with_replicas(service, |replicas, now, _| replicas.reported(now, leaf, report));
     }
 
     /// The load that a leaf reported lately.
-    pub fn load(&self, service: &ServiceName, leaf: &LeafIdentity) -> Option<LoadReport> {
+    pub fn reported_load(&self, service: &ServiceName, leaf: &LeafIdentity) -> Option<LoadReport> {
         let leaves = self.leaves.borrow();
         leaves.services.get(service)?.replicas.load(self.clock.now(), leaf)
     }
 
     /// An attempt has ended.
-    pub fn finish(&self, service: &ServiceName, leaf: &LeafIdentity, outcome: Outcome) {
+    pub fn attempt_finished(&self, service: &ServiceName, leaf: &LeafIdentity, outcome: Outcome) {
         if outcome == Outcome::AddressTaken {
             let now = self.clock.now();
             let share = self.extra_share();
@@ -402,18 +402,22 @@
 
     /// Counts a connection that is about to be opened, unless this broker has its share of those
     /// that the leaf accepts.
-    pub fn admit_connection(&self, accepted: usize, leaf: &ListedLeaf) -> bool {
+    pub fn reserve_connection(&self, accepted: usize, leaf: &ListedLeaf) -> bool {
         let limit = self.connections.share(accepted, &leaf.zone);
-        self.leaves.borrow_mut().pools.entry(leaf.identity.clone()).or_default().admit(limit)
+        self.leaves.borrow_mut().pools.entry(leaf.identity.clone()).or_default().reserve(limit)
     }
 
     /// Which connections to leaves of a service are kept ready.
     fn plan(&self, leaves: &Leaves, service: &ServiceName, accepted: usize) -> Rc<ConnectionPlan> {
-        self.connections.plan(service, accepted, || self.places(leaves, service))
+        self.connections.plan(service, accepted, || self.serving_leaves(leaves, service))
     }
 
     /// The leaves of a service that take new work, with their zones.
-    fn places(&self, leaves: &Leaves, service: &ServiceName) -> Vec<(LeafIdentity, ZoneName)> {
+    fn serving_leaves(
+        &self,
+        leaves: &Leaves,
+        service: &ServiceName,
+    ) -> Vec<(LeafIdentity, ZoneName)> {
         let evacuated = self.evacuated.borrow();
         let usable = |leaf: &&ListedLeaf| {
             leaf.availability == LeafAvailability::Ready && !evacuated.contains(&leaf.zone)
@@ -425,20 +429,20 @@
     }
 
     /// A connection to a leaf was opened in this time.
-    pub fn opened(&self, leaf: &ListedLeaf, took: Duration) {
-        self.connections.opened(self.distance(leaf), took);
-        self.took_connection(leaf);
+    pub fn connection_opened(&self, leaf: &ListedLeaf, took: Duration) {
+        self.connections.record_open_time(self.distance(leaf), took);
+        self.connect_succeeded(leaf);
     }
 
     /// Somebody took a connection at a leaf's address.
-    pub fn took_connection(&self, leaf: &ListedLeaf) {
+    pub fn connect_succeeded(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, now, settings| {
             replicas.took_connection(now, settings, &leaf.identity);
         });
     }
 
     /// Nobody listens at a leaf's address.
-    pub fn refused_connection(&self, leaf: &ListedLeaf) {
+    pub fn connect_refused(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, _, _| {
             replicas.refused_connection(&leaf.identity);
         });
@@ -446,7 +450,7 @@
 
     /// Logs the leaves that are presumed to have ended from now on; gives those to which a connection is to be
     /// opened, to learn whether they are there.
-    pub fn look_after_missing(&self) -> Vec<ListedLeaf> {
+    pub fn leaves_to_probe(&self) -> Vec<ListedLeaf> {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
         let Leaves { directory, services, .. } = &mut *leaves;
@@ -469,7 +473,7 @@
 
     /// Leaves of a service to which a connection is to be kept ready and none is open, the nearest
     /// first. Those that are left out for a reason of their own are left alone.
-    pub fn without_connection(
+    pub fn leaves_needing_connection(
         &self,
         service: &ServiceName,
         limits: ServiceLimits,
@@ -481,7 +485,7 @@
         };
         let wanted = |identity: &&LeafIdentity| {
             let open = leaves.pools.get(*identity).is_some_and(LeafPool::is_open);
-            let waits = self.connections.refrains(now, identity);
+            let waits = self.connections.is_standby_paused(now, identity);
             !open && !waits && state.replicas.is_in_service(identity, now, &self.replica_settings)
         };
         let plan = self.plan(&leaves, service, limits.connections);
@@ -490,46 +494,46 @@
     }
 
     /// A leaf took no connection: none is kept ready to it for a while.
-    pub fn connect_later(&self, leaf: &LeafIdentity) {
-        self.connections.refrain(self.clock.now(), leaf);
+    pub fn pause_standby(&self, leaf: &LeafIdentity) {
+        self.connections.pause_standby(self.clock.now(), leaf);
     }
 
     /// How long leaves of a service say that they keep idle connections.
-    pub fn stated_keep(&self, service: &ServiceName) -> Option<Duration> {
-        self.leaves.borrow().services.get(service)?.stated_keep
+    pub fn keep_alive_timeout(&self, service: &ServiceName) -> Option<Duration> {
+        self.leaves.borrow().services.get(service)?.keep_alive_timeout
     }
 
     /// A leaf of a service says how long it keeps idle connections.
-    pub fn note_stated_keep(&self, service: &ServiceName, stated: Option<Duration>) {
+    pub fn record_keep_alive_timeout(&self, service: &ServiceName, stated: Option<Duration>) {
         if let Some(state) = self.leaves.borrow_mut().services.get_mut(service) {
-            state.stated_keep = stated.or(state.stated_keep);
+            state.keep_alive_timeout = stated.or(state.keep_alive_timeout);
         }
     }
 
     /// A leaf answered on a new connection.
     pub fn connection_accepted(&self, leaf: &LeafIdentity) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
-            pool.accepted();
+            pool.connection_accepted();
         }
     }
 
     /// A leaf reset a new connection, which is still to be closed here; gives whether others to it
     /// are open.
-    pub fn connection_refused(&self, leaf: &LeafIdentity) -> bool {
-        self.leaves.borrow_mut().pools.get_mut(leaf).is_some_and(LeafPool::refused)
+    pub fn connection_reset(&self, leaf: &LeafIdentity) -> bool {
+        self.leaves.borrow_mut().pools.get_mut(leaf).is_some_and(LeafPool::connection_reset)
     }
 
     /// A connection to a leaf is closed.
     pub fn connection_closed(&self, leaf: &LeafIdentity) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
-            pool.closed();
+            pool.connection_closed();
         }
     }
 
     /// A connection to a leaf is idle again. That to a leaf which is gone is closed.
-    pub fn give_back(&self, leaf: &LeafIdentity, connection: LeafConnection) {
+    pub fn return_connection(&self, leaf: &LeafIdentity, connection: LeafConnection) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
-            pool.give_back(connection);
+            pool.return_connection(connection);
         }
     }
 
--- a/crates/broker/src/routes/leaf_registry/choice.rs
+++ b/crates/broker/src/routes/leaf_registry/choice.rs
@@ -10,7 +10,7 @@
 use crate::routes::known_leaves::{Leaves, ServiceLimits};
 
 /// For what a leaf is asked.
-pub struct Asker<'request> {
+pub struct RequestContext<'request> {
     /// The route of the request.
     pub route: &'request Route,
     /// The tenant that sent it, where that is known.
@@ -23,14 +23,14 @@
     /// Chooses a leaf other than those tried, by the first rule of versions by which one can be asked.
     pub fn choose(
         &self,
-        asker: &Asker<'_>,
+        context: &RequestContext<'_>,
         versions: &VersionRules,
         limits: ServiceLimits,
         tried: &[LeafIdentity],
     ) -> Selection {
         let mut selection = Selection::Nobody(NobodyReason::NoneListed);
         for rule in versions.in_order() {
-            selection = self.choose_of_versions(asker, rule, limits, tried);
+            selection = self.choose_of_versions(context, rule, limits, tried);
             if !matches!(selection, Selection::Nobody(_)) {
                 break;
             }
@@ -40,18 +40,18 @@
 
     fn choose_of_versions(
         &self,
-        asker: &Asker<'_>,
+        context: &RequestContext<'_>,
         versions: &VersionRule,
         limits: ServiceLimits,
         tried: &[LeafIdentity],
     ) -> Selection {
         let leaves = self.leaves.borrow();
-        let Some(state) = leaves.services.get(asker.service) else {
+        let Some(state) = leaves.services.get(context.service) else {
             return Selection::Nobody(NobodyReason::NoneListed);
         };
         let reach = |leaf: &LeafIdentity| match leaves.directory.leaves().get(leaf) {
             Some(leaf) if !versions.allows(&leaf.version) => Err(Exclusion::VersionHeldBack),
-            Some(leaf) => self.reach(&leaves, asker, limits, leaf),
+            Some(leaf) => self.reach(&leaves, context, limits, leaf),
             None => Ok(Connectivity::Exhausted),
         };
         let settings = &self.replica_settings;
@@ -62,17 +62,17 @@
     fn reach(
         &self,
         leaves: &Leaves,
-        asker: &Asker<'_>,
+        context: &RequestContext<'_>,
         limits: ServiceLimits,
         leaf: &ListedLeaf,
     ) -> Result<Connectivity, Exclusion> {
-        if !asker.route.allows_region(asker.tenant, self.region(leaf)) {
+        if !context.route.allows_region(context.tenant, self.region(leaf)) {
             return Err(Exclusion::RegionNotAllowed);
         }
         if self.evacuated.borrow().contains(&leaf.zone) {
             return Err(Exclusion::ZoneEvacuated);
         }
-        if !self.has_room_while_cold(leaves, limits, leaf) {
+        if !self.is_within_cold_rate(leaves, limits, leaf) {
             return Err(Exclusion::ColdRateSpent);
         }
         Ok(self.connectivity(leaves, limits.connections, leaf))
--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -139,8 +139,8 @@
         let server = CallerServer::new(state.clone(), stop.clone());
         let open = server.open_connections();
         monoio::spawn(server.run(listener));
-        monoio::spawn(keep_up(state.clone()));
-        monoio::spawn(standby::keep_ready(state.clone()));
+        monoio::spawn(run_upkeep(state.clone()));
+        monoio::spawn(standby::maintain(state.clone()));
         monoio::spawn(leaf_checks::run(state.clone()));
         monoio::spawn(report_slow_leaves(state.clone(), reporters.slow_leaves));
         monoio::spawn(report_usage(state.clone(), reporters.usage));
@@ -195,16 +195,16 @@
             RouteUpdate::DirectoryChange(delta) => state.leaves.change_directory(&delta),
             RouteUpdate::FreshUntil(until) => state.set_fresh_until(until),
             RouteUpdate::LeafWarnings(warnings) => {
-                state.metrics.warned(warnings.len());
-                state.leaves.warn(&warnings);
+                state.metrics.leaf_warnings_received(warnings.len());
+                state.leaves.apply_warnings(&warnings);
             }
-            RouteUpdate::CrashFindings(findings) => state.crashes.told(&findings),
+            RouteUpdate::CrashFindings(findings) => state.crashes.apply_peer_findings(&findings),
             RouteUpdate::RefusedRequests { findings, is_whole } => {
-                state.crashes.recorded(&findings, is_whole)
+                state.crashes.apply_recorded_findings(&findings, is_whole)
             }
             RouteUpdate::Trial { ticket, granted } => state.crashes.trial_answered(ticket, granted),
-            RouteUpdate::Evacuated(zones) => state.evacuate(zones),
-            RouteUpdate::Rollouts(rollouts) => state.roll_out(rollouts),
+            RouteUpdate::Evacuated(zones) => state.set_evacuated_zones(zones),
+            RouteUpdate::Rollouts(rollouts) => state.apply_rollouts(rollouts),
             RouteUpdate::Brokers(brokers) => {
                 state.quotas.set_brokers(brokers.len());
                 state.leaves.set_brokers(brokers);
@@ -214,9 +214,9 @@
                 state.crashes.link_up();
             }
             RouteUpdate::LinkDown => state.quotas.link_down(),
-            RouteUpdate::Usage(usage) => state.quotas.told(&usage),
+            RouteUpdate::Usage(usage) => state.quotas.apply_fleet_usage(&usage),
         }
-        state.note_known();
+        state.signal_if_ready();
     }
 }
 
@@ -224,11 +224,11 @@
 async fn report_slow_leaves(state: Rc<RouteState>, reports: bounded::Tx<SlowLeaves>) {
     loop {
         sleep(SLOW_LEAVES_INTERVAL).await;
-        let observations = state.leaves.take_slow();
+        let observations = state.leaves.take_observations();
         if observations.is_empty() {
             continue;
         }
-        state.metrics.reported(observations.len());
+        state.metrics.slow_leaves_reported(observations.len());
         let report = SlowLeaves { at: state.clock.now(), observations };
         if reports.send(report).await.is_err() {
             return;
@@ -240,7 +240,7 @@
 async fn report_usage(state: Rc<RouteState>, reports: bounded::Tx<LinkedUsage>) {
     loop {
         sleep(USAGE_INTERVAL).await;
-        state.quotas.note_relief();
+        state.quotas.log_relieved_tenants();
         if let Some(report) = state.quotas.report()
             && reports.send(report).await.is_err()
         {
@@ -253,17 +253,17 @@
 async fn report_rollouts(state: Rc<RouteState>, reports: bounded::Tx<Vec<RolloutReport>>) {
     loop {
         sleep(ROLLOUTS_INTERVAL).await;
-        let news = state.rollouts.take_reports();
-        if !news.is_empty() && reports.send(news).await.is_err() {
+        let rollout_reports = state.rollouts.take_reports();
+        if !rollout_reports.is_empty() && reports.send(rollout_reports).await.is_err() {
             return;
         }
     }
 }
 
-async fn keep_up(state: Rc<RouteState>) {
+async fn run_upkeep(state: Rc<RouteState>) {
     loop {
         sleep(UPKEEP_INTERVAL).await;
         state.leaves.close_expired();
-        state.crashes.look_at_routes();
+        state.crashes.refresh_canary_routes();
     }
 }
--- a/crates/broker/src/routes/pool.rs
+++ b/crates/broker/src/routes/pool.rs
@@ -11,16 +11,16 @@
 use monoio::net::TcpStream;
 
 /// Time for which a connection is kept when the leaf does not say how long it does.
-const DEFAULT_KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// Part of a leaf's own time after which a connection is not used again.
-const KEEP_SHARE: f64 = 0.8;
+const KEEP_ALIVE_SHARE: f64 = 0.8;
 
 /// A connection to a leaf; one request at a time.
 pub struct LeafConnection {
     /// Reads responses.
     pub reader: HttpReader,
     writer: OwnedWriteHalf<TcpStream>,
-    keep_until: Instant,
+    expires_at: Instant,
 }
 
 impl LeafConnection {
@@ -33,8 +33,8 @@
         // Latency is measured in milliseconds here; a socket without the option still works.
         let _ = stream.set_nodelay(true);
         let (read_half, writer) = stream.into_split();
-        let keep_until = Instant::now() + DEFAULT_KEEP;
-        Ok(Self { reader: HttpReader::new(read_half), writer, keep_until })
+        let expires_at = Instant::now() + DEFAULT_KEEP_ALIVE;
+        Ok(Self { reader: HttpReader::new(read_half), writer, expires_at })
     }
 
     /// Writes a request while the response is already awaited: a leaf may answer before it has
@@ -61,14 +61,14 @@
     }
 
     /// Whether the leaf has sent nothing and has not closed the connection while it lay idle.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         self.reader.is_empty() && self.reader.fill().now_or_never().is_none()
     }
 
     /// The leaf said, or did not, how long it keeps the connection.
-    pub fn keep_for(&mut self, stated: Option<Duration>) {
-        let span = stated.map_or(DEFAULT_KEEP, |stated| stated.mul_f64(KEEP_SHARE));
-        self.keep_until = Instant::now() + span;
+    pub fn set_keep_alive(&mut self, stated: Option<Duration>) {
+        let span = stated.map_or(DEFAULT_KEEP_ALIVE, |stated| stated.mul_f64(KEEP_ALIVE_SHARE));
+        self.expires_at = Instant::now() + span;
     }
 }
 
@@ -85,7 +85,7 @@
     pub fn take_idle(&mut self) -> Option<LeafConnection> {
         let now = Instant::now();
         while let Some(mut connection) = self.idle.pop() {
-            if now < connection.keep_until && connection.is_quiet() {
+            if now < connection.expires_at && connection.is_reusable() {
                 return Some(connection);
             }
             self.open -= 1;
@@ -96,7 +96,7 @@
     /// Whether a connection lies idle that may be used again.
     pub fn has_idle(&self) -> bool {
         let now = Instant::now();
-        self.idle.iter().any(|connection| now < connection.keep_until)
+        self.idle.iter().any(|connection| now < connection.expires_at)
     }
 
     /// Whether any connection is open.
@@ -111,30 +111,30 @@
     }
 
     /// The leaf answered on a new connection.
-    pub fn accepted(&mut self) {
+    pub fn connection_accepted(&mut self) {
         self.allowance.accepted(self.open);
     }
 
     /// The leaf reset a new connection, which still counts as open; gives whether others are.
-    pub fn refused(&mut self) -> bool {
+    pub fn connection_reset(&mut self) -> bool {
         self.allowance.refused(self.open);
         self.open > 1
     }
 
     /// Counts a connection that is about to be opened, unless `limit` are open.
-    pub fn admit(&mut self, limit: usize) -> bool {
-        let admitted = self.has_room(limit);
-        self.open += usize::from(admitted);
-        admitted
+    pub fn reserve(&mut self, limit: usize) -> bool {
+        let reserved = self.has_room(limit);
+        self.open += usize::from(reserved);
+        reserved
     }
 
     /// A connection that was taken is closed.
-    pub fn closed(&mut self) {
+    pub fn connection_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
     /// A connection that was taken is idle again.
-    pub fn give_back(&mut self, connection: LeafConnection) {
+    pub fn return_connection(&mut self, connection: LeafConnection) {
         self.idle.push(connection);
     }
 
@@ -142,7 +142,7 @@
     pub fn close_expired(&mut self) {
         let now = Instant::now();
         let before = self.idle.len();
-        self.idle.retain(|connection| now < connection.keep_until);
+        self.idle.retain(|connection| now < connection.expires_at);
         self.open = self.open.saturating_sub(before - self.idle.len());
     }
 }
--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -80,7 +80,7 @@
     }
 
     /// A control process told how the quotas stand.
-    pub fn told(&self, usage: &FleetUsage) {
+    pub fn apply_fleet_usage(&self, usage: &FleetUsage) {
         self.meter.borrow_mut().told(self.clock.now(), usage);
     }
 
@@ -102,12 +102,12 @@
     }
 
     /// A request that was counted reached no leaf.
-    pub fn give_back(&self, tenant: &TenantName) {
+    pub fn refund(&self, tenant: &TenantName) {
         self.meter.borrow_mut().give_back(self.clock.now(), tenant);
     }
 
     /// Logs the tenants that are not limited any more.
-    pub fn note_relief(&self) {
+    pub fn log_relieved_tenants(&self) {
         for relief in self.limited.borrow_mut().relieved(self.clock.now()) {
             let (tenant, refused) = (relief.tenant, relief.refused);
             let limited_ms = relief.lasted.as_millis() as u64;
--- a/crates/broker/src/routes/readiness.rs
+++ b/crates/broker/src/routes/readiness.rs
@@ -20,7 +20,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, state.clone()));
+                monoio::spawn(serve_connection(stream, state.clone()));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "readiness", %error);
@@ -30,7 +30,7 @@
     }
 }
 
-async fn converse(stream: TcpStream, state: Rc<RouteState>) {
+async fn serve_connection(stream: TcpStream, state: Rc<RouteState>) {
     let mut connection = ServerConnection::new(stream, Limits::default());
     while let Ok(Some(request)) = connection.next_request().await {
         let known = request.uri().path() == state.dialect.readiness_path;
--- a/crates/broker/src/routes/record.rs
+++ b/crates/broker/src/routes/record.rs
@@ -24,13 +24,13 @@
 
 /// What is recorded of a request when it ends, however it ends. Dropping it writes the metrics and
 /// the log lines.
-pub struct Record {
+pub struct RequestRecord {
     state: Rc<RouteState>,
     request: ForwardedRequest,
     route: Option<Arc<Route>>,
     routes_version: RouteVersion,
     /// Whether it was counted against the quota of its tenant.
-    counted: bool,
+    quota_charged: bool,
     /// None before and after it holds a place in admission.
     admitted: Option<Admitted>,
     outcome: &'static str,
@@ -43,7 +43,7 @@
     ended: Option<Instant>,
 }
 
-impl Record {
+impl RequestRecord {
     /// Nothing was decided yet.
     pub fn new(state: Rc<RouteState>, request: ForwardedRequest) -> Self {
         let routes_version = state.table().map_or(RouteVersion(0), |table| table.version());
@@ -52,7 +52,7 @@
             request,
             route: None,
             routes_version,
-            counted: false,
+            quota_charged: false,
             admitted: None,
             outcome: "caller_left",
             status: 0,
@@ -69,7 +69,7 @@
     }
 
     /// Its route is known.
-    pub fn found(&mut self, route: &Arc<Route>) {
+    pub fn set_route(&mut self, route: &Arc<Route>) {
         self.route = Some(route.clone());
     }
 
@@ -77,21 +77,21 @@
     ///
     /// # Errors
     /// When its caller may come back: it is beyond the quota.
-    pub fn count(&mut self) -> Result<(), Duration> {
+    pub fn charge_quota(&mut self) -> Result<(), Duration> {
         if let Some(tenant) = &self.request.tenant {
             self.state.quotas.admit(&tenant.name)?;
-            self.counted = true;
+            self.quota_charged = true;
         }
         Ok(())
     }
 
     /// A request that no leaf was asked for does not count against the quota of its tenant.
-    fn uncount(&self) {
+    fn refund_quota(&self) {
         if let Some(tenant) = &self.request.tenant
-            && self.counted
-            && !self.request.trail.was_asked()
+            && self.quota_charged
+            && !self.request.trail.has_attempts()
         {
-            self.state.quotas.give_back(&tenant.name);
+            self.state.quotas.refund(&tenant.name);
         }
     }
 
@@ -138,19 +138,19 @@
     /// Its answer was written whole.
     pub fn delivered(&self) {
         if let Some(due) = self.due {
-            self.state.delivered(self.state.clock.now().since(due));
+            self.state.record_delivery(self.state.clock.now().since(due));
         }
     }
 
     fn leave_admission(&mut self) {
         if let (Some(route), Some(admitted)) = (&self.route, self.admitted.take()) {
-            self.state.admission.finish(route, self.how_it_ended(route, &admitted));
+            self.state.admission.finish(route, self.admission_outcome(route, &admitted));
         }
     }
 
     /// What its end says of the leaves: they do not answer for its wait where it was late already when it
     /// was admitted.
-    fn how_it_ended(&self, route: &Route, admitted: &Admitted) -> Ended {
+    fn admission_outcome(&self, route: &Route, admitted: &Admitted) -> Ended {
         let since = if admitted.was_late { admitted.at } else { self.request.received };
         match self.status {
             0 => Ended::GivenUp,
@@ -173,10 +173,10 @@
     held <= Duration::from_millis(route.target_latency_ms)
 }
 
-impl Drop for Record {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
         self.leave_admission();
-        self.uncount();
+        self.refund_quota();
         let missing = self.parts.map_or(0, |(present, whole)| whole - present);
         let held = self.held();
         self.state.metrics.request_ended(self.outcome, held, missing);
@@ -196,9 +196,9 @@
                 && in_time
                 && missing == 0,
         };
-        for judgement in self.request.trail.judgements() {
-            let began = self.state.clock.at(judgement.began);
-            self.state.leaves.observe(&judgement.leaf, began, judgement.conduct);
+        for observed in self.request.trail.leaf_conducts() {
+            let began = self.state.clock.at(observed.began);
+            self.state.leaves.observe(&observed.leaf, began, observed.conduct);
         }
         let sample = self.state.settings.log_sample;
         self.request.trail.write(&self.request.id, &end, sample);
--- a/crates/broker/src/routes/rollouts.rs
+++ b/crates/broker/src/routes/rollouts.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a leaf gets no request of this broker, as roll-outs are, for as long as they stay so.
-    pub fn keeps_from(&self, leaf: &ListedLeaf) -> bool {
+    pub fn excludes(&self, leaf: &ListedLeaf) -> bool {
         let in_force = self.in_force.borrow();
         let Some(rollout) = in_force.get(&leaf.service) else {
             return false;
@@ -90,12 +90,12 @@
 
     /// A request for a service begins.
     pub fn requested(&self, service: &ServiceName) {
-        self.note(service, |_, evidence| evidence.requests += 1);
+        self.update_evidence(service, |_, evidence| evidence.requests += 1);
     }
 
     /// A request is sent to a leaf.
     pub fn sent(&self, leaf: &ListedLeaf) {
-        self.note(&leaf.service, |rollout, evidence| {
+        self.update_evidence(&leaf.service, |rollout, evidence| {
             evidence.exposed += u64::from(leaf.version == rollout.order.target);
         });
     }
@@ -103,7 +103,7 @@
     /// An attempt has ended after this time.
     pub fn ended(&self, attempt: &ObservedAttempt<'_>, conclusion: Conclusion, took: Duration) {
         let leaf = attempt.leaf;
-        self.note(&leaf.service, |rollout, evidence| {
+        self.update_evidence(&leaf.service, |rollout, evidence| {
             let stratum = Stratum { route: attempt.route.to_owned(), distance: attempt.distance };
             let tally = if leaf.version == rollout.order.target {
                 let leaves = evidence.target.entry(stratum).or_default();
@@ -111,12 +111,12 @@
             } else {
                 evidence.present.entry(stratum).or_default()
             };
-            add(tally, conclusion, LatencyBucket::of(took));
+            count(tally, conclusion, LatencyBucket::of(took));
         });
     }
 
     /// Changes the evidence of the roll-out of a service that is under way, if there is one.
-    fn note(&self, service: &ServiceName, change: impl FnOnce(&Rollout, &mut Evidence)) {
+    fn update_evidence(&self, service: &ServiceName, change: impl FnOnce(&Rollout, &mut Evidence)) {
         let in_force = self.in_force.borrow();
         if in_force.is_empty() {
             return;
@@ -133,7 +133,7 @@
     }
 }
 
-fn add(tally: &mut Tally, conclusion: Conclusion, bucket: LatencyBucket) {
+fn count(tally: &mut Tally, conclusion: Conclusion, bucket: LatencyBucket) {
     match conclusion {
         Conclusion::Answered(status) if status < FIRST_FAILURE => {
             *tally.answered.entry(bucket).or_default() += 1;
--- a/crates/broker/src/routes/route_metrics.rs
+++ b/crates/broker/src/routes/route_metrics.rs
@@ -19,7 +19,7 @@
 
 use super::state::RouteState;
 use super::tenant_metrics::TenantMetrics;
-use super::trail::AskReason;
+use super::trail::AttemptReason;
 
 /// Path of the metrics.
 const PATH: &str = "/metrics";
@@ -164,12 +164,12 @@
     }
 
     /// So many slow leaves were reported.
-    pub fn reported(&self, leaves: usize) {
+    pub fn slow_leaves_reported(&self, leaves: usize) {
         self.slow_leaves.inc_by(leaves as u64);
     }
 
     /// So many warnings of leaves came.
-    pub fn warned(&self, warnings: usize) {
+    pub fn leaf_warnings_received(&self, warnings: usize) {
         self.leaf_warnings.inc_by(warnings as u64);
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// A leaf is asked.
-    pub fn leaf_asked(&self, reason: AskReason) {
+    pub fn attempt_started(&self, reason: AttemptReason) {
         let reason = reason.as_str();
         self.leaf_requests.get_or_create(&ReasonLabels { reason }).inc();
     }
@@ -238,14 +238,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, state.clone()));
+                monoio::spawn(serve_connection(stream, state.clone()));
             }
             Err(error) => warn!(event = "accept_failed", listener = "route_metrics", %error),
         }
     }
 }
 
-async fn converse(stream: TcpStream, state: Rc<RouteState>) {
+async fn serve_connection(stream: TcpStream, state: Rc<RouteState>) {
     let mut connection = ServerConnection::new(stream, Limits::default());
     while let Ok(Some(request)) = connection.next_request().await {
         let mut response = match request.uri().path() {
--- a/crates/broker/src/routes/running.rs
+++ b/crates/broker/src/routes/running.rs
@@ -6,11 +6,11 @@
 
 /// Futures that run side by side; a few, so that all are polled when one of them wakes the task.
 /// Dropping the set drops them, by which their work is cancelled.
-pub struct Running<Work> {
+pub struct AttemptSet<Work> {
     futures: Vec<Pin<Box<Work>>>,
 }
 
-impl<Work: Future> Running<Work> {
+impl<Work: Future> AttemptSet<Work> {
     /// None are under way.
     pub fn new() -> Self {
         Self { futures: Vec::with_capacity(1) }
--- a/crates/broker/src/routes/serving.rs
+++ b/crates/broker/src/routes/serving.rs
@@ -12,10 +12,10 @@
 use monoio::time::timeout;
 
 use super::attempt::{ForwardedRequest, LeafReply};
-use super::attempts::{Parts, ask};
+use super::attempts::{FanOut, call_service};
 use super::authentication::{CallerIdentity, UnknownKey, authenticate};
 use super::gather::gather;
-use super::record::Record;
+use super::record::RequestRecord;
 use super::respond::{MergedAnswer, Refusal};
 use super::state::RouteState;
 
@@ -41,8 +41,11 @@
 /// Serves one request. When the future is dropped the caller has left, and everything for the
 /// request is cancelled. The record is to be kept until the answer is written: what it writes then may
 /// take longer than the answer.
-pub async fn serve(state: &Rc<RouteState>, mut request: ForwardedRequest) -> (Served, Record) {
-    state.wait_until_known(request.deadline).await;
+pub async fn serve(
+    state: &Rc<RouteState>,
+    mut request: ForwardedRequest,
+) -> (Served, RequestRecord) {
+    state.wait_until_ready(request.deadline).await;
     let found = find_route(state, &request.head);
     if let Ok(found) = &found {
         request.identify(&state.dialect, &found.caller);
@@ -53,20 +56,20 @@
         let left = state.clock.until(stop.answers_by());
         request.deadline = request.deadline.min(Instant::now() + left);
     }
-    let mut record = Record::new(state.clone(), request);
-    let Found { table, route, .. } = match found {
+    let mut record = RequestRecord::new(state.clone(), request);
+    let MatchedRequest { table, route, .. } = match found {
         Ok(found) => found,
         Err(refused) => return (record.refuse(refused.refusal, refused.reason), record),
     };
-    record.found(&route);
-    if !state.takes(&route) {
+    record.set_route(&route);
+    if !state.accepts(&route) {
         let refusal = Refusal::NotRun { retry_after: BUSY_RETRY_AFTER };
         return (record.refuse(refusal, "stopping"), record);
     }
-    if let Some(left) = state.crashes.refused_for(&route, record.request()) {
-        return (kept_from_leaves(state, &route, &mut record, left), record);
+    if let Some(left) = state.crashes.refusal_left(&route, record.request()) {
+        return (refuse_crashing_request(state, &route, &mut record, left), record);
     }
-    if let Err(retry_after) = record.count() {
+    if let Err(retry_after) = record.charge_quota() {
         let refusal = Refusal::OverQuota { retry_after };
         return (record.refuse(refusal, refusal.outcome()), record);
     }
@@ -76,24 +79,24 @@
     }
     record.admitted(state.clock.now() >= candidate.in_time_until);
     // What others found while it waited counts, too.
-    let usual = state.crashes.usual_caution(&route);
+    let usual = state.crashes.default_caution(&route);
     let caution = state.crashes.caution(&route, record.request(), usual).await;
     let served = match caution {
         Ok(caution) => {
             record.request().trail.sent_with(caution);
             serve_route(state, &route, record.request(), caution).await
         }
-        Err(left) => return (kept_from_leaves(state, &route, &mut record, left), record),
+        Err(left) => return (refuse_crashing_request(state, &route, &mut record, left), record),
     };
     record.end(&served);
     (served, record)
 }
 
 /// Refuses a request whose like has crashed leaves: it comes back when one try is let through.
-fn kept_from_leaves(
+fn refuse_crashing_request(
     state: &RouteState,
     route: &Route,
-    record: &mut Record,
+    record: &mut RequestRecord,
     left: Duration,
 ) -> Served {
     state.metrics.kept_from_leaves(&route.name);
@@ -108,7 +111,7 @@
 /// Refuses a request that [`lacks_key`].
 pub fn refuse_unread(state: &Rc<RouteState>, request: ForwardedRequest) -> Refusal {
     let refusal = Refusal::Unauthorized;
-    Record::new(state.clone(), request).refuse(refusal, refusal.outcome());
+    RequestRecord::new(state.clone(), request).refuse(refusal, refusal.outcome());
     refusal
 }
 
@@ -119,16 +122,16 @@
 }
 
 /// Where a request goes, and whose it is.
-struct Found {
+struct MatchedRequest {
     table: Rc<RouteTable>,
     route: Arc<Route>,
     caller: CallerIdentity,
 }
 
-fn find_route(state: &RouteState, head: &RequestHead) -> Result<Found, RefusedByHead> {
+fn find_route(state: &RouteState, head: &RequestHead) -> Result<MatchedRequest, RefusedByHead> {
     let refused = |refusal, reason| RefusedByHead { refusal, reason };
     let Some(table) = state.table().filter(|_| state.leaves.is_listed()) else {
-        let refusal = Refusal::NotRun { retry_after: state.start_left() };
+        let refusal = Refusal::NotRun { retry_after: state.startup_retry_after() };
         return Err(refused(refusal, "nothing_known_yet"));
     };
     if state.is_out_of_date() {
@@ -141,7 +144,7 @@
     };
     let caller = authenticate(&state.dialect, table.keys(), &route, head)
         .map_err(|UnknownKey| refused(Refusal::Unauthorized, "unauthorized"))?;
-    Ok(Found { table, route, caller })
+    Ok(MatchedRequest { table, route, caller })
 }
 
 async fn serve_route(
@@ -171,25 +174,27 @@
     caution: Caution,
 ) -> Served {
     let left = request.deadline.saturating_duration_since(Instant::now());
-    let parts = Parts::new(state, route, 0, caution);
-    match timeout(left, ask(state, route, service, request, &parts)).await {
+    let fan_out = FanOut::new(state, route, 0, caution);
+    match timeout(left, call_service(state, route, service, request, &fan_out)).await {
         Ok(Some(reply)) => Served::Relayed(Box::new(reply)),
-        Ok(None) => Served::Refused(unanswered(request, false, BUSY_RETRY_AFTER)),
-        Err(_) => Served::Refused(unanswered(request, true, BUSY_RETRY_AFTER)),
+        Ok(None) => Served::Refused(refusal_without_answer(request, false, BUSY_RETRY_AFTER)),
+        Err(_) => Served::Refused(refusal_without_answer(request, true, BUSY_RETRY_AFTER)),
     }
 }
 
 /// What a caller is told whose request gets no answer. One that has not run is to come back after the usual
 /// time, or later where the reason lasts.
-pub(super) fn unanswered(
+pub(super) fn refusal_without_answer(
     request: &ForwardedRequest,
     time_is_over: bool,
-    usual: Duration,
+    default_retry_after: Duration,
 ) -> Refusal {
     match request.evidence.get().failure(time_is_over) {
         RequestFailure::NotRun => {
-            let lasts = request.trail.nobody_reason().is_some_and(NobodyReason::is_lasting);
-            Refusal::NotRun { retry_after: if lasts { LASTING_RETRY_AFTER } else { usual } }
+            let lasts = request.trail.no_leaf_reason().is_some_and(NobodyReason::is_lasting);
+            Refusal::NotRun {
+                retry_after: if lasts { LASTING_RETRY_AFTER } else { default_retry_after },
+            }
         }
         RequestFailure::TimedOut => Refusal::TimedOut,
         RequestFailure::NoAnswer => Refusal::NoReply,
--- a/crates/broker/src/routes/standby.rs
+++ b/crates/broker/src/routes/standby.rs
@@ -14,24 +14,24 @@
 use super::state::RouteState;
 
 /// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 /// Connections that are opened in one round: those of a hundred shards are ready within about two
 /// seconds, and leaves are not met by all brokers at once.
-const OPENED_IN_A_ROUND: usize = 20;
+const OPENS_PER_ROUND: usize = 20;
 /// Time in which the reset of a connection that the leaf does not accept arrives: the way there and
 /// back between regions.
-const RESET_TIME: Duration = Duration::from_millis(100);
+const RESET_WAIT: Duration = Duration::from_millis(100);
 /// Time that a leaf has to take the connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Keeps connections ready for ever.
-pub async fn keep_ready(state: Rc<RouteState>) {
+pub async fn maintain(state: Rc<RouteState>) {
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         if state.is_stopping() {
             continue;
         }
-        for (service, leaf) in state.leaves_without_connection(OPENED_IN_A_ROUND) {
+        for (service, leaf) in state.standby_targets(OPENS_PER_ROUND) {
             monoio::spawn(open(state.clone(), service, leaf));
         }
     }
@@ -40,27 +40,27 @@
 /// Opens a connection and leaves it idle.
 async fn open(state: Rc<RouteState>, service: ServiceName, leaf: ListedLeaf) {
     let limits = state.service_limits(&service);
-    if !state.leaves.admit_connection(limits.connections, &leaf) {
+    if !state.leaves.reserve_connection(limits.connections, &leaf) {
         return;
     }
-    match timeout(CONNECT_LIMIT, LeafConnection::connect(leaf.address)).await {
+    match timeout(CONNECT_TIMEOUT, LeafConnection::connect(leaf.address)).await {
         Ok(Ok(mut connection)) => {
-            sleep(RESET_TIME).await;
-            if connection.is_quiet() {
-                connection.keep_for(state.leaves.stated_keep(&service));
-                state.leaves.give_back(&leaf.identity, connection);
+            sleep(RESET_WAIT).await;
+            if connection.is_reusable() {
+                connection.set_keep_alive(state.leaves.keep_alive_timeout(&service));
+                state.leaves.return_connection(&leaf.identity, connection);
             } else {
                 // The leaf has as many as it accepts.
-                state.leaves.connection_refused(&leaf.identity);
-                refrain(&state, &leaf);
+                state.leaves.connection_reset(&leaf.identity);
+                pause_standby(&state, &leaf);
             }
         }
-        _ => refrain(&state, &leaf),
+        _ => pause_standby(&state, &leaf),
     }
 }
 
 /// Leaves a leaf alone for a while that took no connection: whoever has a request for it comes first.
-fn refrain(state: &RouteState, leaf: &ListedLeaf) {
+fn pause_standby(state: &RouteState, leaf: &ListedLeaf) {
     state.leaves.connection_closed(&leaf.identity);
-    state.leaves.connect_later(&leaf.identity);
+    state.leaves.pause_standby(&leaf.identity);
 }
--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -38,7 +38,7 @@
 use crate::stop::StopSignal;
 
 /// Least time after which a caller is asked to come back while nothing is known yet.
-const LEAST_START_LEFT: Duration = Duration::from_millis(200);
+const MIN_STARTUP_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Share of the answers of a route that take no longer than is usual.
 const USUAL_QUANTILE: f64 = 0.5;
@@ -77,7 +77,7 @@
     fresh_until: Cell<Timestamp>,
     stop: Cell<Option<PlannedStop>>,
     /// Given once a configuration and a list of leaves are in force.
-    known: StopSignal,
+    ready: StopSignal,
     /// What merged answers of this broker take to leave.
     delivery: Cell<DeliveryTime>,
     random: RefCell<Pcg64>,
@@ -111,7 +111,7 @@
             splits: RefCell::default(),
             fresh_until: Cell::new(Timestamp::ZERO),
             stop: Cell::new(None),
-            known: StopSignal::new(),
+            ready: StopSignal::new(),
             delivery: Cell::default(),
             random: RefCell::new(random),
         }
@@ -120,21 +120,21 @@
     /// Waits until a configuration and a list of leaves are in force, for a part of the time that is
     /// left until `deadline` and for no longer than the settings say. A request that waits has not
     /// run; told to come back it would find the same.
-    pub async fn wait_until_known(&self, deadline: Instant) {
-        if self.known.is_given() {
+    pub async fn wait_until_ready(&self, deadline: Instant) {
+        if self.ready.is_given() {
             return;
         }
         let left = deadline.saturating_duration_since(Instant::now());
         let longest = Duration::from_millis(self.settings.start_wait_ms.into());
         let wait = longest.min(left.mul_f64(START_WAIT_SHARE));
         // Without news the request is refused by what follows.
-        let _ = timeout(wait, self.known.given()).await;
+        let _ = timeout(wait, self.ready.given()).await;
     }
 
     /// Says that requests can be served, once they can.
-    pub fn note_known(&self) {
-        if self.leaves.is_listed() && self.table.borrow().is_some() && !self.known.is_given() {
-            self.known.give();
+    pub fn signal_if_ready(&self) {
+        if self.leaves.is_listed() && self.table.borrow().is_some() && !self.ready.is_given() {
+            self.ready.give();
         }
     }
 
@@ -152,9 +152,9 @@
     }
 
     /// When a caller is asked to come back while nothing is known yet.
-    pub fn start_left(&self) -> Duration {
+    pub fn startup_retry_after(&self) -> Duration {
         let expected = Duration::from_millis(self.settings.start_ms.into());
-        expected.saturating_sub(self.now().since(Timestamp::ZERO)).max(LEAST_START_LEFT)
+        expected.saturating_sub(self.now().since(Timestamp::ZERO)).max(MIN_STARTUP_RETRY_AFTER)
     }
 
     /// What is held was confirmed, and counts until then.
@@ -193,7 +193,7 @@
 
     /// Whether a request of a route is taken on: always, unless a planned stop may end before the
     /// request does.
-    pub fn takes(&self, route: &Route) -> bool {
+    pub fn accepts(&self, route: &Route) -> bool {
         let Some(stop) = self.stop.get() else {
             return true;
         };
@@ -217,20 +217,20 @@
             routes
         );
         self.splits.borrow_mut().clear();
-        self.leaves.forget_cold_shares();
+        self.leaves.invalidate_cold_shares();
         self.quotas.configure(&configuration.tenants);
         *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(configuration)));
     }
 
     /// Leaves of these zones get no new work; those of all others do.
-    pub fn evacuate(&self, zones: BTreeSet<ZoneName>) {
-        self.leaves.evacuate(zones, |service| self.service_limits(service).cold_start);
+    pub fn set_evacuated_zones(&self, zones: BTreeSet<ZoneName>) {
+        self.leaves.set_evacuated_zones(zones, |service| self.service_limits(service).cold_start);
     }
 
     /// Takes over how far the roll-outs are. Connections are kept ready to other leaves from then on.
-    pub fn roll_out(&self, rollouts: Rollouts) {
+    pub fn apply_rollouts(&self, rollouts: Rollouts) {
         self.rollouts.put_in_force(rollouts);
-        self.leaves.forget_plans();
+        self.leaves.invalidate_plans();
     }
 
     /// The service of a split whose turn it is.
@@ -263,7 +263,7 @@
 
     /// Up to `most` leaves of shards to which a connection is to be kept ready and none is open, each
     /// with its service.
-    pub fn leaves_without_connection(&self, most: usize) -> Vec<(ServiceName, ListedLeaf)> {
+    pub fn standby_targets(&self, most: usize) -> Vec<(ServiceName, ListedLeaf)> {
         let Some(table) = self.table() else {
             return Vec::new();
         };
@@ -271,8 +271,8 @@
         let shards = table.shards().iter().filter(|(_, target)| kept(target));
         let leaves = shards.map(|(service, _)| service).flat_map(|service| {
             let limits = self.service_limits(service);
-            let leaves = self.leaves.without_connection(service, limits);
-            let usable = |leaf: &ListedLeaf| !self.rollouts.keeps_from(leaf);
+            let leaves = self.leaves.leaves_needing_connection(service, limits);
+            let usable = |leaf: &ListedLeaf| !self.rollouts.excludes(leaf);
             leaves.into_iter().filter(usable).map(|leaf| (service.clone(), leaf))
         });
         leaves.take(most).collect()
@@ -310,7 +310,7 @@
     }
 
     /// A merged answer took this long to leave.
-    pub fn delivered(&self, took: Duration) {
+    pub fn record_delivery(&self, took: Duration) {
         let mut delivery = self.delivery.get();
         delivery.observe(took);
         self.delivery.set(delivery);
@@ -318,7 +318,7 @@
 
     /// When an answer is finished that should be with its caller `target` after its request was
     /// received.
-    pub fn soft_moment(&self, received: Timestamp, target: Duration) -> Timestamp {
+    pub fn soft_deadline(&self, received: Timestamp, target: Duration) -> Timestamp {
         let margin = AnswerMargin {
             least: Duration::from_millis(self.settings.answer_margin_ms.into()),
             unobserved: Duration::from_millis(self.settings.first_delivery_ms.into()),
--- a/crates/broker/src/routes/trail.rs
+++ b/crates/broker/src/routes/trail.rs
@@ -19,11 +19,11 @@
 const ATTEMPT_LIMIT: usize = 256;
 /// Attempts of a request that are all written; of more, only those that tell something: a request to
 /// ninety shards would else write a hundred lines, nearly all of them alike.
-const ALWAYS_WRITTEN: usize = 16;
+const MAX_LOGGED_IN_FULL: usize = 16;
 /// Median times of the attempts of a request beyond which one of them is not usual.
 const USUAL_FACTOR: u32 = 2;
 /// Attempts of a request from which on their median tells what is slow.
-const LEAST_JUDGED: usize = 5;
+const MIN_ATTEMPTS_FOR_MEDIAN: usize = 5;
 /// Median times of the attempts of a request after which a leaf counts as slow in it: beyond what the
 /// load of a moment does, and less than a slow disk or a pause.
 const SLOW_FACTOR: u32 = 4;
@@ -42,7 +42,7 @@
 
 /// Why a leaf was asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskReason {
+pub enum AttemptReason {
     /// It was the first.
     First,
     /// The one before has failed.
@@ -51,7 +51,7 @@
     Hedge,
 }
 
-impl AskReason {
+impl AttemptReason {
     /// In one word, as logs and metrics say it.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -65,7 +65,7 @@
 struct Attempt {
     service: ServiceName,
     leaf: LeafIdentity,
-    reason: AskReason,
+    reason: AttemptReason,
     /// Whether the leaf had answered as expected lately.
     sound: bool,
     /// The load that it had reported lately.
@@ -84,7 +84,7 @@
 pub struct TrailEntry(usize);
 
 /// How a leaf did in one request.
-pub struct Judgement {
+pub struct LeafConduct {
     /// The leaf.
     pub leaf: LeafIdentity,
     /// When it was asked.
@@ -128,7 +128,7 @@
     /// Leaves that ended under it.
     leaves_ended: Cell<u32>,
     /// Why no leaf of a service could be asked; of several services, of the last.
-    nobody: Cell<Option<NobodyReason>>,
+    no_leaf_reason: Cell<Option<NobodyReason>>,
 }
 
 impl Trail {
@@ -140,7 +140,7 @@
             parts_in_time: Cell::default(),
             caution: Cell::default(),
             leaves_ended: Cell::default(),
-            nobody: Cell::default(),
+            no_leaf_reason: Cell::default(),
         }
     }
 
@@ -170,26 +170,26 @@
     }
 
     /// No leaf of a service could be asked, or could be by the end of the request's time.
-    pub fn nobody(&self, reason: NobodyReason) {
-        self.nobody.set(Some(reason));
+    pub fn set_no_leaf_reason(&self, reason: NobodyReason) {
+        self.no_leaf_reason.set(Some(reason));
     }
 
     /// What [`Self::nobody`] was told last; none before.
-    pub fn nobody_reason(&self) -> Option<NobodyReason> {
-        self.nobody.get()
+    pub fn no_leaf_reason(&self) -> Option<NobodyReason> {
+        self.no_leaf_reason.get()
     }
 
     /// Whether any leaf was asked.
-    pub fn was_asked(&self) -> bool {
+    pub fn has_attempts(&self) -> bool {
         !self.attempts.borrow().is_empty()
     }
 
     /// A leaf is asked.
-    pub fn asked(
+    pub fn attempt_started(
         &self,
         service: &ServiceName,
         leaf: &LeafIdentity,
-        reason: AskReason,
+        reason: AttemptReason,
         sound: bool,
         load: Option<LoadReport>,
     ) -> TrailEntry {
@@ -210,7 +210,7 @@
     }
 
     /// A leaf replied with a status, or failed.
-    pub fn ended(&self, entry: TrailEntry, outcome: Result<u16, AttemptError>) {
+    pub fn attempt_ended(&self, entry: TrailEntry, outcome: Result<u16, AttemptError>) {
         // One beyond the limit is not kept.
         if let Some(attempt) = self.attempts.borrow_mut().get_mut(entry.0) {
             let took = attempt.began.elapsed();
@@ -221,11 +221,11 @@
     /// What the attempts say of the leaves that were asked: which failed, and of those asked first for a
     /// request to many shards also which took far longer than the others. Where few were asked, nobody
     /// is slow or sound.
-    pub fn judgements(&self) -> Vec<Judgement> {
+    pub fn leaf_conducts(&self) -> Vec<LeafConduct> {
         let attempts = self.attempts.borrow();
-        let judged = attempts.len() >= LEAST_JUDGED;
-        let slow_after = median_time(&attempts).filter(|_| judged).map(|time| time * SLOW_FACTOR);
-        attempts.iter().filter_map(|attempt| attempt.judge(slow_after)).collect()
+        let enough = attempts.len() >= MIN_ATTEMPTS_FOR_MEDIAN;
+        let slow_after = median_time(&attempts).filter(|_| enough).map(|time| time * SLOW_FACTOR);
+        attempts.iter().filter_map(|attempt| attempt.leaf_conduct(slow_after)).collect()
     }
 
     /// Writes the lines of a request that has ended, unless it is an ordinary one that is not in
@@ -251,7 +251,7 @@
             attempts = attempts.len(),
             caution = self.caution.get().map(Caution::as_str),
             leaves_ended = (self.leaves_ended() > 0).then_some(self.leaves_ended()),
-            no_leaf = self.nobody.get().map(NobodyReason::as_str),
+            no_leaf = self.no_leaf_reason.get().map(NobodyReason::as_str),
             retry_after_ms = end.retry_after_ms,
             routes_version = end.routes_version.0,
             directory_version = end.directory_version
@@ -265,9 +265,9 @@
 
 impl Attempt {
     /// How the leaf did; none when it could not show it.
-    fn judge(&self, slow_after: Option<Duration>) -> Option<Judgement> {
+    fn leaf_conduct(&self, slow_after: Option<Duration>) -> Option<LeafConduct> {
         let conduct = self.conduct(slow_after)?;
-        Some(Judgement { leaf: self.leaf.clone(), began: self.began, conduct })
+        Some(LeafConduct { leaf: self.leaf.clone(), began: self.began, conduct })
     }
 
     fn conduct(&self, slow_after: Option<Duration>) -> Option<Conduct> {
@@ -278,7 +278,7 @@
         if outcome == Some(REJECTED) {
             return Some(Conduct::Refused);
         }
-        let slow_after = slow_after.filter(|_| self.reason == AskReason::First)?;
+        let slow_after = slow_after.filter(|_| self.reason == AttemptReason::First)?;
         let took = self.ended.as_ref().map_or_else(|| self.began.elapsed(), |ended| ended.took);
         match outcome {
             _ if took > slow_after => Some(Conduct::Slow),
@@ -291,7 +291,9 @@
     /// such an attempt explains nothing.
     fn is_usual(&self, usual: Option<Duration>) -> bool {
         let answered = |ended: &Ended| ended.outcome == ANSWERED && Some(ended.took) <= usual;
-        self.reason == AskReason::First && self.sound && self.ended.as_ref().is_some_and(answered)
+        self.reason == AttemptReason::First
+            && self.sound
+            && self.ended.as_ref().is_some_and(answered)
     }
 
     fn write(&self, request: &str, received: Instant) {
@@ -316,7 +318,7 @@
 /// What an attempt may take that is left out of the lines of a request to many shards; none where
 /// there are too few attempts to leave one out.
 fn usual_time(attempts: &[Attempt]) -> Option<Duration> {
-    if attempts.len() <= ALWAYS_WRITTEN {
+    if attempts.len() <= MAX_LOGGED_IN_FULL {
         return None;
     }
     median_time(attempts).map(|median| median * USUAL_FACTOR)
