--- a/crates/broker/src/routes/running.rs
+++ b/crates/broker/src/routes/running.rs
@@ -1,32 +1,32 @@
-//! The attempts at one request that are under way.
+//! The set of concurrent attempts of one request.
 
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Futures that run side by side; a few, so that all are polled when one of them wakes the task.
-/// Dropping the set drops them, by which their work is cancelled.
+/// A small set of futures that run concurrently; all are polled at each wake-up of the task.
+/// Dropping the set cancels them.
 pub struct AttemptSet<Work> {
     futures: Vec<Pin<Box<Work>>>,
 }
 
 impl<Work: Future> AttemptSet<Work> {
-    /// None are under way.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self { futures: Vec::with_capacity(1) }
     }
 
-    /// Whether none are under way.
+    /// Whether the set holds no future.
     pub fn is_empty(&self) -> bool {
         self.futures.is_empty()
     }
 
-    /// One more begins.
+    /// Adds a future; it is first polled by [`Self::next`].
     pub fn push(&mut self, future: Work) {
         self.futures.push(Box::pin(future));
     }
 
-    /// The output of the next one that ends; waits for ever while none are under way.
+    /// Output of the next future that completes; pending for ever while the set is empty.
     pub async fn next(&mut self) -> Work::Output {
         poll_fn(|context| self.poll_next(context)).await
     }
