--- a/crates/broker/src/routes/standby.rs
+++ b/crates/broker/src/routes/standby.rs
@@ -1,7 +1,7 @@
-//! Connections that are kept ready for the parts of gathered answers.
+//! Idle connections kept open in advance for the parts of gathered answers.
 //!
-//! A hedge has to come back within what is left of the target latency. Where the second leaf is far
-//! away, a connection that is still to be opened costs as much as the request itself.
+//! A hedge has to return within what is left of the target latency. To a leaf in another region,
+//! opening a connection takes as long as the request itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use super::pool::LeafConnection;
 use super::state::RouteState;
 
-/// Time between two rounds.
+/// Time between two rounds of opening connections.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Connections that are opened in one round: those of a hundred shards are ready within about two
-/// seconds, and leaves are not met by all brokers at once.
+/// Connections opened in one round: those of a hundred shards are open within about two seconds,
+/// and leaves are not hit by all brokers at once.
 const OPENS_PER_ROUND: usize = 20;
-/// Time in which the reset of a connection that the leaf does not accept arrives: the way there and
-/// back between regions.
+/// Time within which the reset of a connection that the leaf does not accept arrives: a round trip
+/// between regions.
 const RESET_WAIT: Duration = Duration::from_millis(100);
-/// Time that a leaf has to take the connection.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps connections ready for ever.
+/// Keeps the planned connections open; never returns.
 pub async fn maintain(state: Rc<RouteState>) {
     loop {
         sleep(ROUND_INTERVAL).await;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Opens a connection and leaves it idle.
+/// Opens a connection and returns it to the pool as idle.
 async fn open(state: Rc<RouteState>, service: ServiceName, leaf: ListedLeaf) {
     let limits = state.service_limits(&service);
     if !state.leaves.reserve_connection(limits.connections, &leaf) {
@@ -50,7 +50,7 @@
                 connection.set_keep_alive(state.leaves.keep_alive_timeout(&service));
                 state.leaves.return_connection(&leaf.identity, connection);
             } else {
-                // The leaf has as many as it accepts.
+                // The leaf is at its connection limit.
                 state.leaves.connection_reset(&leaf.identity);
                 pause_standby(&state, &leaf);
             }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Leaves a leaf alone for a while that took no connection: whoever has a request for it comes first.
+/// Pauses standby connections to a leaf that accepted none: connections for requests have priority.
 fn pause_standby(state: &RouteState, leaf: &ListedLeaf) {
     state.leaves.connection_closed(&leaf.identity);
     state.leaves.pause_standby(&leaf.identity);
