--- a/crates/broker/src/routes/leaf_checks.rs
+++ b/crates/broker/src/routes/leaf_checks.rs
@@ -1,8 +1,8 @@
-//! Connections without a request, by which a broker learns whether a leaf is there that has missed, or at which a request
-//! was given up that no leaf has answered.
+//! Liveness probes: connections without a request to leaves that failed, or at which an unanswered
+//! request was abandoned.
 //!
-//! Without them a request of a caller would find out, and might arrive at another leaf that has the address of an
-//! ended one.
+//! Without probes a caller's request would have to find out, and might arrive at another leaf that
+//! has taken over the address of an ended one.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -14,16 +14,16 @@
 use super::pool::LeafConnection;
 use super::state::RouteState;
 
-/// Time between two looks at which leaves have missed.
+/// Time between two rounds of probes.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Time that a leaf has to take the connection.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time that a leaf which lost a connection has to take another one or refuse it, before its requests go on
-/// elsewhere: several times the way to another region and back.
+/// Timeout of probing a leaf that lost a connection, before its requests are retried elsewhere:
+/// several round trips to another region.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Checks leaves that have missed or may have ended, for ever.
+/// Probes leaves that failed or may have ended; never returns.
 pub async fn run(state: Rc<RouteState>) {
     loop {
         sleep(ROUND_INTERVAL).await;
@@ -39,25 +39,26 @@
     }
 }
 
-/// What became of a leaf that lost a connection.
+/// Result of probing a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It takes another connection, or has as many as it accepts.
+    /// It accepts connections, or is at its connection limit.
     Alive,
-    /// Nobody listens at its address.
+    /// Nothing listens at its address.
     Ended,
-    /// Nothing was heard in time.
+    /// The probe timed out or failed otherwise.
     Unknown,
 }
 
 impl Liveness {
-    /// Whether the leaf counts as ended: in doubt where the request that was under way is `suspected` already.
+    /// Whether the leaf counts as ended. An unknown result counts as ended only if the request that
+    /// was in flight is already `suspected` of crashing leaves.
     pub fn has_ended(self, suspected: bool) -> bool {
         self == Self::Ended || suspected && self == Self::Unknown
     }
 }
 
-/// Finds out what became of a leaf that lost a connection.
+/// Probes a leaf that lost a connection, within a short timeout.
 pub async fn probe_liveness(state: &RouteState, leaf: &ListedLeaf) -> Liveness {
     match timeout(LIVENESS_TIMEOUT, probe(state, leaf.clone())).await {
         Ok(liveness) => liveness,
@@ -65,14 +66,14 @@
     }
 }
 
-/// Opens a connection and closes it.
+/// Opens a connection and closes it at once.
 async fn probe(state: &RouteState, leaf: ListedLeaf) -> Liveness {
     match timeout(CONNECT_TIMEOUT, LeafConnection::connect(leaf.address)).await {
         Ok(Ok(_)) => {
             state.leaves.connect_succeeded(&leaf);
             Liveness::Alive
         }
-        // It has as many as it accepts.
+        // The leaf is at its connection limit.
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => {
             state.leaves.connect_succeeded(&leaf);
             Liveness::Alive
@@ -82,7 +83,7 @@
             state.crashes.leaf_is_gone(&state.metrics, &leaf.identity);
             Liveness::Ended
         }
-        // Silence is no sign of anything.
+        // A timeout does not tell an ended leaf from a slow network.
         Ok(Err(_)) | Err(_) => Liveness::Unknown,
     }
 }
