--- a/crates/broker/src/routes/gather.rs
+++ b/crates/broker/src/routes/gather.rs
@@ -1,4 +1,4 @@
-//! Answers that are merged from one leaf of each shard.
+//! Scatter-gather: answers merged from the replies of one leaf of each shard.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,20 +18,20 @@
 use super::serving::refusal_without_answer;
 use super::state::RouteState;
 
-/// When a caller is asked to come back after too many shards could not be asked.
+/// Retry-after of a request for which too many shards could not be reached.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Share of replies of a part that come sooner than the other parts wait for those that are asked first.
+/// Latency quantile of a part for which the other parts wait for the canary leaves.
 const CANARY_QUANTILE: f64 = 0.98;
-/// Part of the target latency for which they wait at most: the other parts need up to half of it, where few leaves are
-/// asked first, and merging the rest.
+/// Longest wait for the canary leaves, as a share of the target latency: the other parts need up to
+/// half of it, and merging the rest.
 const LONGEST_CANARY_SHARE: f64 = 0.4;
 
-/// The parts of one answer that are in.
+/// The parts of one answer received so far.
 struct GatherState {
-    /// When the answer leaves with the parts that are in.
+    /// When the answer is sent with the parts received by then.
     soft_deadline: Timestamp,
-    /// Whether it had not enough parts by then.
+    /// Whether too few parts had arrived by the soft deadline.
     soft_deadline_passed: bool,
     gathering: Gathering,
     attestations: Vec<Vec<u8>>,
@@ -77,42 +77,42 @@
         if !self.gathering.reaches_least_share() {
             let time_is_over = Instant::now() >= request.deadline;
             return Err(match refusal_without_answer(request, time_is_over, RETRY_AFTER) {
-                // It has run, and coming back soon would cost further leaves.
+                // The request has run on leaves that ended; a retry would crash further leaves.
                 Refusal::NotRun { .. } if is_suspected => Refusal::NoReply,
                 refusal => refusal,
             });
         }
         let missing = self.gathering.missing();
         let records = self.records.into_bytes();
-        // A timer that was late is a part of what the answer took.
+        // Timer delay after the soft deadline counts as delivery time.
         let due = if self.soft_deadline_passed { now } else { now.min(self.soft_deadline) };
         Ok(MergedAnswer { attestations: self.attestations, missing, records, due })
     }
 }
 
-/// How long the leaves that are asked first may take until one more is asked as well.
+/// How long the canary leaves may take before another one is asked as well.
 fn canary_time(state: &RouteState, route: &Route) -> Duration {
     let longest = Duration::from_millis(route.target_latency_ms).mul_f64(LONGEST_CANARY_SHARE);
     state.latency(route, CANARY_QUANTILE).map_or(longest, |usual| usual.min(longest))
 }
 
-/// All services, beginning with the one that the `draw` from 0 to 1 falls on: requests that go to few leaves
-/// first spread over the shards.
+/// All services, starting at the one selected by `draw` in 0..1, so that canary requests are spread
+/// over the shards.
 fn rotated(services: &[ServiceName], draw: f64) -> impl ExactSizeIterator<Item = &ServiceName> {
     let first = (draw * services.len() as f64) as usize;
     (0..services.len()).map(move |place| &services[(first + place) % services.len()])
 }
 
-/// The attestation of a reply that is a part: a whole one that tells of success.
+/// The attestation of a complete, successful reply; none for any other reply.
 fn attestation(state: &RouteState, reply: &LeafReply) -> Option<Vec<u8>> {
     let whole = (200..=299).contains(&reply.head.status) && reply.rest.is_none();
     let attestation = reply.head.headers.get(state.dialect.attestation);
     attestation.filter(|attestation| whole && !attestation.is_empty()).map(<[u8]>::to_vec)
 }
 
-/// Asks one leaf of each shard and merges what comes. At the route's target latency the answer
-/// leaves with the parts that are in, once they reach the least share; what is still on its way
-/// is cancelled.
+/// Sends the request to one leaf of each shard and merges the replies. At the soft deadline the
+/// answer is sent with the parts received, once they reach the least share; outstanding attempts
+/// are cancelled.
 ///
 /// # Errors
 /// A [`Refusal`] when the least share was not reached.
@@ -127,13 +127,13 @@
     let fan_out = FanOut::new(state, route, gathered.gathering.spare(), caution);
     let mut running = FuturesUnordered::new();
     let mut waiting = rotated(&shards.services, state.draw());
-    // When all leaves were asked, or those that were left of them.
+    // When the request had been sent to all shards.
     let mut all_asked = None;
     let canary_time = canary_time(state, route);
     let mut canaries_until = state.clock.now().after(canary_time);
     let ask_for = |service| call_service(state, route, service, request, &fan_out);
     loop {
-        // A request that may crash leaves goes to few of them first.
+        // A request that may crash leaves is sent to a few canary leaves first.
         let now = state.clock.now();
         if now >= canaries_until && fan_out.room().is_some() {
             fan_out.canaries_are_late();
