--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at the leaves of one service until one replies: retries and hedges.
+//! Attempts at the leaves of one service until one replies, with retries and hedges.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,52 +24,52 @@
 use super::trail::{AttemptReason, TrailEntry, outcome_name};
 use crate::stop::StopSignal;
 
-/// Share of replies of a part that are waited for before another leaf is asked as well.
+/// Latency quantile after which a part of a gathered answer is hedged.
 const PART_HEDGE_QUANTILE: f64 = 0.95;
-/// The same of a request to a single leaf.
+/// Latency quantile after which a request to a single leaf is hedged.
 const SINGLE_HEDGE_QUANTILE: f64 = 0.98;
-/// Silence, in hedge delays, after which an attempt that is given up counts as a failure.
+/// Hedge delays without a reply after which an abandoned attempt counts as a failure.
 const SILENT_AFTER_HEDGE_DELAYS: u32 = 3;
 
-/// Time until leaves are looked at again to which this broker has no connection to spare.
+/// Time between two checks for a free connection.
 const CONNECTION_WAIT: Duration = Duration::from_millis(4);
-/// Part of the target latency for which a request waits for a connection at most, where a late leaf
-/// could be asked at once.
+/// Longest wait for a connection to a leaf in time, as a share of the target latency, while a late
+/// leaf could be asked at once.
 const CONNECTION_WAIT_SHARE: f64 = 0.2;
-/// Time until a part looks again whether the leaf that was asked for another one has replied or ended; a leaf
-/// needs some milliseconds for either.
+/// Time between two checks whether the canary leaf of another part has replied or ended; either
+/// takes a leaf some milliseconds.
 pub const CANARY_WAIT: Duration = Duration::from_millis(4);
-/// Time until leaves are asked again that refused, or of which none could be asked.
+/// Time until leaves are tried again after all refused or were unavailable.
 const REFUSAL_WAIT: Duration = Duration::from_millis(20);
-/// Part of the time of a request after which leaves that cannot be asked are not waited for any more.
+/// Share of a request's time after which it no longer waits for an available leaf.
 const REFUSAL_WAIT_SHARE: f64 = 0.7;
 
-/// What is done next for a request that no leaf owes a reply.
+/// Next step of a service call.
 enum NextStep {
-    /// This leaf is asked.
+    /// Send the request to this leaf.
     Send(ListedLeaf, TrailEntry),
-    /// Leaves are looked at again after this time.
+    /// Look for a leaf again after this time.
     Wait(Duration),
-    /// No leaf may be asked.
+    /// No leaf may be asked any more.
     NoLeaf,
 }
 
-/// What the parts of one request tell each other.
+/// State shared by the parts of one request.
 pub struct FanOut {
-    /// Given once the parts that are missing take longer than the others.
+    /// Given once the missing parts take longer than the others did.
     pub overdue: StopSignal,
-    /// When another leaf is asked as well for a part.
+    /// Time without a reply after which a part is hedged.
     hedge_delay: Duration,
-    /// How many more parts the answer can do without.
+    /// Number of further parts that may be missing from the answer.
     spare_parts: Cell<usize>,
-    /// At how many leaves the request may be under way.
+    /// Limits the number of leaves that have the request in flight.
     gate: RefCell<CanaryGate>,
-    /// How many parts have asked no leaf yet.
+    /// Number of parts that have not been started.
     pending: Cell<usize>,
 }
 
 impl FanOut {
-    /// Parts of a request of this route, of which so many can be done without.
+    /// State of a request of this route, of whose parts `spare_parts` may be missing.
     pub fn new(state: &RouteState, route: &Route, spare_parts: usize, caution: Caution) -> Self {
         Self {
             overdue: StopSignal::new(),
@@ -80,18 +80,18 @@
         }
     }
 
-    /// For how many more parts leaves may be asked now; none for all of them.
+    /// Number of further parts that may start now; none means all.
     pub fn room(&self) -> Option<usize> {
         self.gate.borrow().room()
     }
 
-    /// So many parts have asked no leaf yet, and do once there is room.
+    /// Sets the number of parts that have not been started and wait for the gate.
     pub fn set_pending(&self, parts: usize) {
         self.pending.set(parts);
     }
 
-    /// Whether the request may be sent to one more leaf. While leaves end under it, those of other shards are
-    /// asked before a second one of the same: a shard has few.
+    /// Whether the request may be sent to one more leaf. Once it is suspected of crashing leaves,
+    /// other shards come before a second leaf of the same shard: a shard has few leaves.
     fn permission(&self, reason: AttemptReason) -> Permission {
         let gate = self.gate.borrow();
         match gate.permission() {
@@ -106,17 +106,17 @@
         }
     }
 
-    /// The leaves that were asked first take longer than usual.
+    /// Tells the gate that the canary leaves take longer than usual.
     pub fn canaries_are_late(&self) {
         self.gate.borrow_mut().canaries_are_late();
     }
 
-    /// Whether leaves have ended under the request, and none has replied.
+    /// Whether leaves have ended under the request and none has replied.
     pub fn is_suspected(&self) -> bool {
         self.gate.borrow().is_suspected()
     }
 
-    /// The answer has to do without one more.
+    /// Counts a part that stays missing.
     fn part_failed(&self) {
         self.spare_parts.set(self.spare_parts.get().saturating_sub(1));
     }
@@ -127,9 +127,9 @@
     leaf: LeafIdentity,
     entry: TrailEntry,
     outcome: Result<LeafReply, AttemptError>,
-    /// When the request was sent to it.
+    /// When the request was sent to the leaf.
     sent: Timestamp,
-    /// Whether the leaf has ended, where it lost the connection.
+    /// Whether the leaf is alive; probed only after a lost connection.
     liveness: Liveness,
 }
 
@@ -140,14 +140,14 @@
     service: &'request ServiceName,
     request: &'request ForwardedRequest,
     fan_out: &'request FanOut,
-    /// When the first leaf was to be asked.
+    /// When the call started.
     began: Instant,
     attempts: RequestAttempts,
-    /// The reply of a leaf that failed, for want of a better one.
+    /// Failed reply of a leaf, used if no other leaf gives a better one.
     failure: Option<LeafReply>,
-    /// Why no leaf was chosen when one was looked for last.
+    /// Why the last selection found no leaf.
     no_leaf_reason: Option<NobodyReason>,
-    /// Drawn once, so that waiting does not change which versions the request may go to.
+    /// Drawn once per call, so that waiting does not change which versions the request may go to.
     version_draw: f64,
 }
 
@@ -173,8 +173,8 @@
         }
     }
 
-    /// The leaf to ask next, if one may be asked: within the attempts of the route, and for every
-    /// one beyond the first that arrives within the budget of extra requests.
+    /// Selects the next leaf within the route's limit of attempts. Each attempt after the first
+    /// that arrived also needs room in the budget of extra requests.
     fn next_step(&mut self, reason: AttemptReason) -> NextStep {
         if !self.attempts.may_ask() {
             return NextStep::NoLeaf;
@@ -211,7 +211,7 @@
                 None
             }
         };
-        // A hedge to a leaf that is late itself is hardly ever the first to answer.
+        // A hedge to a leaf that is itself late is hardly ever the first to answer.
         let choice = choice.filter(|choice| choice.sound || reason != AttemptReason::Hedge);
         match choice.and_then(|choice| self.start_attempt(&choice, reason)) {
             Some((leaf, entry)) => NextStep::Send(leaf, entry),
@@ -247,36 +247,35 @@
         Some((leaf, entry))
     }
 
-    /// Why the next leaf is asked when none owes a reply.
+    /// Reason of the next attempt while none is in flight.
     fn reason(&self) -> AttemptReason {
         if self.attempts.is_first() { AttemptReason::First } else { AttemptReason::Retry }
     }
 
-    /// Whether another leaf may be asked while one owes a reply: not where a second run would
-    /// matter, and not where it takes capacity from others that is short.
+    /// Whether a hedge is allowed: not if the request may run only once, nor while the leaves are
+    /// overloaded.
     fn can_hedge(&self) -> bool {
         self.attempts.may_hedge() && !self.state.admission.is_overrun(self.route)
     }
 
-    /// The leaf that was asked last takes longer than expected; the ones before were late already.
+    /// Marks the leaf of the newest attempt as late; earlier ones have been marked already.
     fn mark_newest_late(&self) {
         if let Some(leaf) = self.attempts.newest_open() {
             self.state.leaves.attempt_late(self.service, leaf);
         }
     }
 
-    /// Whether it is worth waiting for a connection of this broker to be free again: while no leaf
-    /// owes a reply, for a part of the target latency. After that the caller is better told to come
-    /// back.
+    /// Whether to wait for a free connection: only while no attempt is in flight, and for a share
+    /// of the target latency. After that the caller is told to retry.
     fn may_wait_for_connection(&self, reason: AttemptReason) -> bool {
         let target = Duration::from_millis(self.route.target_latency_ms);
         let waited = self.began.elapsed();
         reason != AttemptReason::Hedge && waited <= target.mul_f64(CONNECTION_WAIT_SHARE)
     }
 
-    /// Whether it is worth waiting until a leaf can be asked: the answer cannot do without this part, no
-    /// other outcome than a refusal is in sight, a leaf may be there in time, and there is time to
-    /// be served yet.
+    /// Whether to wait for an available leaf: the part is required, there is no failed reply to
+    /// return, the reason for the lack of leaves is temporary, and enough of the request's time is
+    /// left.
     fn may_wait_for_leaves(&self, reason: AttemptReason) -> bool {
         let whole = self.request.deadline.saturating_duration_since(self.request.received);
         let waited = self.request.received.elapsed();
@@ -288,7 +287,7 @@
             && waited <= whole.mul_f64(REFUSAL_WAIT_SHARE)
     }
 
-    /// An attempt has ended; gives the outcome of the request when that settles it.
+    /// Takes the result of an attempt; returns the outcome of the call if that decides it.
     fn settle(&mut self, ended: FinishedAttempt) -> Option<Option<LeafReply>> {
         self.update_canary_gate(&ended);
         let FinishedAttempt { leaf, entry, outcome, .. } = ended;
@@ -306,7 +305,7 @@
         None
     }
 
-    /// What the end of an attempt says of whether the request crashes leaves.
+    /// Updates the canary gate and the crash watch with the result of an attempt.
     fn update_canary_gate(&self, ended: &FinishedAttempt) {
         let mut gate = self.fan_out.gate.borrow_mut();
         if ended.outcome.as_ref().is_ok_and(|reply| is_survived(reply.head.status)) {
@@ -334,7 +333,7 @@
         }
     }
 
-    /// The outcome when no further leaf can be asked.
+    /// Outcome of the call when no further leaf can be asked.
     fn give_up(&mut self) -> Option<LeafReply> {
         if let Some(reason) = self.no_leaf_reason {
             self.request.trail.set_no_leaf_reason(reason);
@@ -344,7 +343,8 @@
 }
 
 impl Drop for ServiceCall<'_> {
-    /// Leaves that owe a reply for long when the request is given up are failing. Any of them may end under it yet.
+    /// Marks leaves as silent that have not replied for long. Each leaf with an attempt in flight
+    /// may still end under the request, so that the crash watch is told of all.
     fn drop(&mut self) {
         let now = self.state.clock.now();
         let gate = self.fan_out.gate.borrow();
@@ -362,7 +362,7 @@
     }
 }
 
-/// When another leaf is asked as well.
+/// Hedge delay of a route, from its observed latency.
 fn route_hedge_delay(state: &RouteState, route: &Route) -> Duration {
     let quantile = match route.destination {
         Destination::Shards(_) => PART_HEDGE_QUANTILE,
@@ -372,10 +372,10 @@
     hedge_delay(state.latency(route, quantile), target)
 }
 
-/// Asks leaves of a service until one replies. Another leaf is asked as well once the measured
-/// latency of the route says that the first is late, or the other `parts` do. The failure of a leaf that
-/// ran a repeatable request is the reply only when no other leaf can be asked. Without a reply, the request's
-/// evidence tells whether it may have run.
+/// Sends a request to leaves of a service until one replies. It is hedged once the first leaf is
+/// late by the observed latency of the route, or by that of the other parts in `fan_out`. A failed
+/// reply to a repeatable request is returned only if no other leaf can be asked. Without a reply,
+/// the request's evidence tells whether it may have run.
 pub async fn call_service(
     state: &Rc<RouteState>,
     route: &Route,
@@ -431,8 +431,8 @@
     }
 }
 
-/// Ends when another leaf is to be asked: after the hedge delay, or once the request is said to be
-/// overdue for the first time. Never while none may be asked.
+/// Completes when a hedge is due: after the hedge delay, or the first time that the part is
+/// overdue. Never completes while no hedge is allowed.
 async fn hedge_due(call: &ServiceCall<'_>, overdue_seen: bool) {
     if !call.can_hedge() {
         return std::future::pending().await;
