--- a/crates/broker/src/routes/connection_book.rs
+++ b/crates/broker/src/routes/connection_book.rs
@@ -1,5 +1,5 @@
-//! What this broker decides about connections to leaves: its plan for each service, what opening one is
-//! observed to take, and which leaves are left alone for a while.
+//! Planning of connections to leaves: the plan of each service, the observed time of opening a
+//! connection, and the leaves to which standby connections are paused.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,42 +13,43 @@
 use gingerkeel_domain::identifiers::{BrokerName, LeafIdentity, ServiceName, ZoneName};
 use gingerkeel_domain::time::Timestamp;
 
-/// How fast the time of opening a connection follows longer ones: what a busy moment adds at either end is
-/// not the way there. A shorter one counts at once.
+/// Weight of a sample above the known open time, so that a busy moment at either end does not count
+/// as network distance. A shorter sample replaces the known time at once.
 const OPEN_TIME_RISE: f64 = 0.02;
-/// Part of the target latency from which on opening a connection is dear: a hedge leaves after about a
-/// third of the target, and what is left has room for the way to the leaf and back once more. With regions
-/// 30 ms apart and targets of 120 ms, connections kept ready raised the answers in time from 0.69 to 0.88
-/// of the credit, on one simulated day each.
+/// Share of the target latency from which opening a connection is expensive: a hedge is sent after
+/// about a third of the target, and the rest has room for one more round trip. With regions 30 ms
+/// apart and targets of 120 ms, standby connections raised the answers in time from 0.69 to 0.88 of
+/// the credit, over one simulated day each.
 const EXPENSIVE_OPEN_SHARE: f64 = 0.3;
-/// Age of the process from which connections are kept ready. Leaves may still hold those of whatever ran
-/// before it, and have none to spare but for requests.
+/// Age of the process from which standby connections are opened. Before, leaves may still hold
+/// connections of the previous process and need the rest for requests.
 const STANDBY_MIN_AGE: Duration = Duration::from_secs(5);
-/// Time for which no connection is kept ready to a leaf that took none.
+/// Time without standby connections to a leaf that accepted none.
 const STANDBY_PAUSE: Duration = Duration::from_secs(2);
 
-/// The plan of a service, and the connections accepted by each leaf for which it was made.
+/// The plan of a service, with the connection limit of its leaves for which it was computed.
 struct CachedPlan {
     accepted: usize,
     plan: Rc<ConnectionPlan>,
 }
 
-/// Decisions about connections.
+/// Plans connections to leaves.
 pub struct ConnectionPlanner {
     name: BrokerName,
     zone: ZoneName,
     zone_regions: BTreeMap<String, String>,
     census: RefCell<BrokerCensus>,
-    /// Forgotten with every change of brokers, leaves or evacuations.
+    /// Cache, invalidated by each change of brokers, leaves or evacuations.
     plans: RefCell<BTreeMap<ServiceName, CachedPlan>>,
-    /// What opening a connection takes at least, in seconds; by distance.
+    /// Estimated time of opening a connection by distance, in seconds.
     open_seconds: RefCell<BTreeMap<Distance, f64>>,
-    /// Leaves to which no connection is kept ready until then.
+    /// When the pause of standby connections to a leaf ends.
     standby_paused_until: RefCell<BTreeMap<LeafIdentity, Timestamp>>,
 }
 
 impl ConnectionPlanner {
-    /// The book of a broker that knows no others yet. `zone_regions` gives the region of each zone.
+    /// Creates the planner of a broker that knows no others yet. `zone_regions` maps zones to
+    /// regions.
     pub fn new(name: BrokerName, zone: ZoneName, zone_regions: BTreeMap<String, String>) -> Self {
         Self {
             name,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The brokers have changed.
+    /// Replaces the set of brokers and invalidates all plans.
     pub fn set_brokers(&self, brokers: &[KnownBroker]) {
         let live = brokers.iter().filter(|broker| broker.live).map(|broker| &broker.entry);
         let placed = live.map(|entry| (entry.placement.zone.clone(), entry.name.clone()));
@@ -69,17 +70,18 @@
         self.invalidate_plans();
     }
 
-    /// Which leaves take new work has changed anywhere.
+    /// Invalidates all plans, after a change of which leaves take new work.
     pub fn invalidate_plans(&self) {
         self.plans.borrow_mut().clear();
     }
 
-    /// The leaves of a service have changed.
+    /// Invalidates the plan of a service, after a change of its leaves.
     pub fn invalidate_plan(&self, service: &ServiceName) {
         self.plans.borrow_mut().remove(service);
     }
 
-    /// How many connections this broker may open to a leaf of a zone that accepts `accepted` from all.
+    /// Number of connections that this broker may open to a leaf of a zone, which accepts
+    /// `accepted` from all brokers together.
     pub fn share(&self, accepted: usize, leaf_zone: &ZoneName) -> usize {
         let census = self.census.borrow();
         let in_zone = census.in_zone(leaf_zone);
@@ -87,8 +89,9 @@
         connection_share(accepted, brokers, *leaf_zone == self.zone)
     }
 
-    /// What is kept ready of the leaves of a service, each of which accepts `accepted` connections. `leaves` gives those
-    /// that take new work with their zones, when a plan has to be made.
+    /// The plan of standby connections of a service whose leaves accept `accepted` connections
+    /// each. `leaves` returns those that take new work, with their zones, if the plan has to be
+    /// computed.
     pub fn plan(
         &self,
         service: &ServiceName,
@@ -109,7 +112,7 @@
         plan
     }
 
-    /// A connection to a leaf at this distance was opened in this time.
+    /// Records the time of opening a connection to a leaf at this distance.
     pub fn record_open_time(&self, distance: Distance, took: Duration) {
         let took = took.as_secs_f64();
         let mut open_seconds = self.open_seconds.borrow_mut();
@@ -117,23 +120,24 @@
         *known = took.min(*known + OPEN_TIME_RISE * (took - *known));
     }
 
-    /// Whether a process of this age keeps connections ready for requests with this target latency:
-    /// where opening one is observed to take a large part of it. Idle connections have a price, too: leaves
-    /// hold those of a broker that lost its power, and have none to spare for its successor.
+    /// Whether a process of this age keeps standby connections for requests with this target
+    /// latency: only if opening a connection takes a large share of it. Idle connections have a
+    /// cost: after a power loss of the broker, leaves still hold them and have none left for its
+    /// successor.
     pub fn keeps_ready(&self, age: Duration, target: Duration) -> bool {
         let expensive_from = target.as_secs_f64() * EXPENSIVE_OPEN_SHARE;
         age >= STANDBY_MIN_AGE
             && self.open_seconds.borrow().values().any(|took| *took >= expensive_from)
     }
 
-    /// A leaf took no connection: none is kept ready to it for a while.
+    /// Pauses standby connections to a leaf that accepted none.
     pub fn pause_standby(&self, now: Timestamp, leaf: &LeafIdentity) {
         let mut standby_paused_until = self.standby_paused_until.borrow_mut();
         standby_paused_until.retain(|_, until| now < *until);
         standby_paused_until.insert(leaf.clone(), now.after(STANDBY_PAUSE));
     }
 
-    /// Whether a leaf is left alone.
+    /// Whether standby connections to a leaf are paused.
     pub fn is_standby_paused(&self, now: Timestamp, leaf: &LeafIdentity) -> bool {
         self.standby_paused_until.borrow().get(leaf).is_some_and(|until| now < *until)
     }
