--- a/crates/broker/src/routes/admission.rs
+++ b/crates/broker/src/routes/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests: at once, after a wait, or not.
+//! Admission control: a request is admitted at once, queued, or refused.
 //!
 //! The gates are borrowed between two waits only, never across one.
 
@@ -16,14 +16,14 @@
 use monoio::time::timeout;
 use tracing::info;
 
-/// The gate of one destination, and whom to tell of an admission.
+/// The overload gate of one destination, with its queued requests.
 struct DestinationGate {
     gate: OverloadGate,
-    /// Dropped unused when a request would wait in vain.
+    /// Notified on admission; dropped if the request cannot be admitted in time.
     waiting: BTreeMap<TicketNumber, oneshot::Sender<()>>,
 }
 
-/// Admission to all destinations.
+/// Admission control of all destinations.
 pub struct Admission {
     clock: Clock,
     settings: OverloadGateSettings,
@@ -31,15 +31,16 @@
 }
 
 impl Admission {
-    /// Nothing is limited but by what is not known yet.
+    /// Creates admission control without any destination; gates are added as requests arrive.
     pub fn new(clock: Clock) -> Self {
         Self { clock, settings: OverloadGateSettings::default(), gates: RefCell::default() }
     }
 
-    /// Waits until a request of a route may begin; [`Admission::finish`] has to follow when it may.
+    /// Waits until a request of a route is admitted; each admission must be followed by
+    /// [`Admission::finish`].
     ///
     /// # Errors
-    /// When its caller may come back: the request is not to begin.
+    /// The retry-after of a refused request.
     pub async fn enter(&self, route: &Route, candidate: Candidate) -> Result<(), Duration> {
         let Some(service) = route.destination.representative() else {
             return Ok(());
@@ -70,7 +71,8 @@
         destination.gate.enter(self.clock.now(), &self.settings, candidate)
     }
 
-    /// Told once a request that waits is admitted; fails once it would wait in vain.
+    /// Receives the admission of a queued request; fails once the request cannot be admitted in
+    /// time.
     fn subscribe(&self, service: &ServiceName, ticket: TicketNumber) -> oneshot::Receiver<()> {
         let (sender, receiver) = oneshot::channel();
         if let Some(destination) = self.gates.borrow_mut().get_mut(service) {
@@ -96,7 +98,7 @@
         retry_after
     }
 
-    /// A request of a route that was admitted has ended.
+    /// Releases an admitted request of a route and admits queued ones in its place.
     pub fn finish(&self, route: &Route, ended: Ended) {
         let mut gates = self.gates.borrow_mut();
         let service = route.destination.representative();
@@ -118,7 +120,7 @@
         let now = self.clock.now();
         while let Some(ticket) = destination.gate.next(now, &self.settings) {
             if let Some(admitted) = destination.waiting.remove(&ticket) {
-                // Whoever has ended its wait meanwhile says so itself.
+                // A request that has stopped waiting leaves the gate by itself.
                 let _ = admitted.send(());
             }
         }
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Whether leaves of a route run short of capacity while more requests come than end.
+    /// Whether the leaves of a route are overloaded while requests arrive faster than they finish.
     pub fn is_overrun(&self, route: &Route) -> bool {
         let gates = self.gates.borrow();
         let service = route.destination.representative();
@@ -136,7 +138,7 @@
     }
 }
 
-/// A request that waits. When its caller leaves, it does as well.
+/// A queued request. Dropping it, as when the caller disconnects, removes it from the queue.
 struct WaitGuard<'admission> {
     admission: &'admission Admission,
     service: &'admission ServiceName,
