--- a/crates/broker/src/routes/extra_load.rs
+++ b/crates/broker/src/routes/extra_load.rs
@@ -1,4 +1,4 @@
-//! Extra requests of one service: the budget, and what it was used for so far.
+//! Budget of extra requests (hedges and retries) of one service, with totals since the start.
 
 use std::time::Duration;
 
@@ -21,12 +21,12 @@
 pub(super) struct ExtraLoad {
     budget: ExtraLoadBudget,
     totals: ExtraLoadTotals,
-    /// When it was last told that the budget is spent.
+    /// When the spent budget was last reported.
     last_reported: Option<Timestamp>,
 }
 
 impl ExtraLoad {
-    /// A request for the service begins: it may be sent to one leaf.
+    /// Counts the first attempt of a request, which adds to the budget.
     pub(super) fn earn(&mut self, share: &ExtraLoadShare, now: Timestamp) {
         self.totals.first += 1;
         self.budget.earn(share, now);
@@ -38,7 +38,7 @@
         self.budget.cover(share, now);
     }
 
-    /// Takes one extra request; false when there is no room.
+    /// Takes one extra request out of the budget; false if there is no room.
     pub(super) fn take(&mut self, share: &ExtraLoadShare, now: Timestamp) -> bool {
         let taken = self.budget.take(share, now);
         let counter = if taken { &mut self.totals.extra } else { &mut self.totals.refused };
@@ -46,7 +46,7 @@
         taken
     }
 
-    /// The totals, where it was not told for `interval` that the budget is spent.
+    /// The totals, unless a spent budget was already reported within `interval`.
     pub(super) fn report_spent(
         &mut self,
         now: Timestamp,
