--- a/crates/broker/src/routes/cold_shares.rs
+++ b/crates/broker/src/routes/cold_shares.rs
@@ -1,4 +1,4 @@
-//! What this broker may send to each cold leaf.
+//! This broker's share of the request rate of each cold leaf.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,8 +9,8 @@
 use gingerkeel_domain::forwarding::{ColdShare, ColdStart, Distance};
 use gingerkeel_domain::identifiers::{BrokerName, LeafIdentity};
 
-/// Shares of cold leaves, forgotten with every change of brokers, leaves or rates: to find one takes a look at all
-/// brokers.
+/// Cache of the shares of cold leaves, invalidated by each change of brokers, leaves or rates:
+/// computing a share visits all brokers.
 pub struct ColdShareCache {
     /// The name of this broker.
     broker: BrokerName,
@@ -20,17 +20,18 @@
 }
 
 impl ColdShareCache {
-    /// No share is known yet.
+    /// Creates an empty cache. `zone_regions` maps zones to regions.
     pub fn new(broker: BrokerName, zone_regions: BTreeMap<String, String>) -> Self {
         Self { broker, zone_regions, known: RefCell::default() }
     }
 
-    /// What the shares depend on has changed.
+    /// Drops all cached shares, after a change of brokers, leaves or rates.
     pub fn invalidate(&self) {
         self.known.borrow_mut().clear();
     }
 
-    /// The share of a leaf that starts so, `age` after this process did, among the brokers that share it.
+    /// The share of a leaf with this cold start, `age` after the start of this process, among
+    /// `brokers`.
     pub fn of(
         &self,
         start: ColdStart,
@@ -43,7 +44,7 @@
         }
         let distance = |broker: &KnownBroker| self.distance(broker, leaf);
         let share = ColdShare::of(start, &leaf.identity, &self.broker, age, brokers, distance);
-        // Nothing is known yet of a broker that has just started; it is not to stay so.
+        // A broker that has just started has no share yet; that result must not be cached.
         if share != ColdShare::NOTHING || age >= ColdShare::LEAST_AGE {
             self.known.borrow_mut().insert(leaf.identity.clone(), share);
         }
