--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -1,7 +1,7 @@
-//! The leaves that a broker knows: the list in force, what was observed of each, the budget of extra
-//! requests of each service, and the connections.
+//! The leaves that a broker knows: the directory in force, observations of each leaf, the budget of
+//! extra requests of each service, and the connection pools.
 //!
-//! The state is borrowed between two waits only, never across one.
+//! No borrow of the state is held across an `await`.
 
 mod choice;
 
@@ -43,20 +43,20 @@
     extra: ExtraLoadSettings,
     replica_settings: ReplicaSettings,
     leaves: RefCell<Leaves>,
-    /// Zones whose leaves get no new work.
+    /// Evacuated zones, whose leaves get no new work.
     evacuated: RefCell<BTreeSet<ZoneName>>,
     connections: ConnectionPlanner,
-    /// The brokers that share what leaves bear, those included that may be cut off; none while they are
-    /// not known.
+    /// The brokers that share the capacity of the leaves, including those that may be partitioned
+    /// off; empty until they are known.
     sharing_brokers: RefCell<Vec<KnownBroker>>,
     cold_shares: ColdShareCache,
-    /// What is to be reported of leaves.
+    /// Observations of slow and failing leaves for the next report.
     observations: RefCell<ObservationLog>,
     random: RefCell<Pcg64>,
 }
 
 impl LeafRegistry {
-    /// No leaf is known yet.
+    /// Creates a registry without leaves.
     pub fn new(clock: Clock, broker: &BrokerSettings, settings: &RouteSettings, seed: u64) -> Self {
         let extra = ExtraLoadSettings {
             ratio: settings.extra_ratio,
@@ -85,17 +85,17 @@
         }
     }
 
-    /// Version of the list of leaves in force; 0 for none.
+    /// Version of the directory in force; 0 for none.
     pub fn version(&self) -> u64 {
         self.leaves.borrow().directory.version().0
     }
 
-    /// Whether a list of leaves is in force.
+    /// Whether a directory is in force.
     pub fn is_listed(&self) -> bool {
         self.version() > 0
     }
 
-    /// Takes a whole list of leaves over, unless it is older than the one in force.
+    /// Replaces the directory, unless the new one is older than the one in force.
     pub fn replace_directory(&self, directory: LeafDirectory) {
         let mut leaves = self.leaves.borrow_mut();
         if directory.version() >= leaves.directory.version() {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes a change of the list over.
+    /// Applies a change to the directory; logs a gap if changes before it are missing.
     pub fn change_directory(&self, delta: &DirectoryDelta) {
         let mut leaves = self.leaves.borrow_mut();
         if leaves.directory.apply(delta) {
@@ -116,15 +116,15 @@
         }
     }
 
-    /// The brokers that share the leaves.
+    /// Replaces the set of brokers that share the leaves.
     pub fn set_brokers(&self, brokers: Vec<KnownBroker>) {
         self.connections.set_brokers(&brokers);
         self.invalidate_cold_shares();
         *self.sharing_brokers.borrow_mut() = brokers;
     }
 
-    /// Leaves of these zones get no new work; those of all other zones do. `cold_start` tells how the
-    /// leaves of a service start.
+    /// Sets the zones whose leaves get no new work. `cold_start` returns the cold start of a
+    /// service, which applies to leaves of restored zones.
     pub fn set_evacuated_zones(
         &self,
         zones: BTreeSet<ZoneName>,
@@ -141,8 +141,8 @@
         info!(event = "zones_evacuated", count = named.len(), zones = named.join(","));
     }
 
-    /// Leaves of zones that are restored may have turned cold, and the list lags: they count as cold
-    /// for as long as a leaf does after its start.
+    /// Marks leaves of restored zones as cold for as long as after a start: they may have lost
+    /// their caches, and the directory lags.
     fn mark_restored_cold<'zones>(
         &self,
         zones: impl Iterator<Item = &'zones ZoneName>,
@@ -157,17 +157,18 @@
         }
     }
 
-    /// Connections are kept ready to other leaves from now on.
+    /// Invalidates the plans of standby connections.
     pub fn invalidate_plans(&self) {
         self.connections.invalidate_plans();
     }
 
-    /// How many zones are evacuated.
+    /// Number of evacuated zones.
     pub fn evacuated_zones(&self) -> usize {
         self.evacuated.borrow().len()
     }
 
-    /// Takes over what the list in force says of the leaves that are new or changed.
+    /// Updates the state of leaves that are new or changed in the directory, and drops removed
+    /// ones.
     fn apply_listing(&self, leaves: &mut Leaves, changed: &[ListedLeaf]) {
         let now = self.clock.now();
         self.invalidate_cold_shares();
@@ -199,17 +200,17 @@
         info!(event = "directory_in_force", version, leaves = directory.leaves().len());
     }
 
-    /// How far away a leaf is.
+    /// Distance from this broker to a leaf.
     pub fn distance(&self, leaf: &ListedLeaf) -> Distance {
         Distance::between(&self.zone, &leaf.zone, &self.zone_regions)
     }
 
-    /// The region in which a leaf runs, where the settings name it.
+    /// The region of a leaf, if the settings name it.
     fn region(&self, leaf: &ListedLeaf) -> Option<&str> {
         self.zone_regions.get(leaf.zone.as_str()).map(String::as_str)
     }
 
-    /// How long the process has run: its clock starts with it.
+    /// Age of the process: the clock starts with it.
     fn age(&self) -> Duration {
         self.clock.now().since(Timestamp::ZERO)
     }
@@ -218,7 +219,7 @@
         self.random.borrow_mut().random()
     }
 
-    /// Whether a leaf is warm, or this broker may send it a request while it is cold.
+    /// Whether a leaf is warm, or this broker's share of its cold rate has room.
     fn is_within_cold_rate(
         &self,
         leaves: &Leaves,
@@ -231,18 +232,18 @@
             || leaves.cold.has_room(now, &leaf.identity, self.cold_share(limits, leaf))
     }
 
-    /// Services may state other rates for cold leaves.
+    /// Invalidates the shares of cold leaves, after services may have changed their rates.
     pub fn invalidate_cold_shares(&self) {
         self.cold_shares.invalidate();
     }
 
-    /// What this broker may send to a cold leaf.
+    /// This broker's share of the rate of a cold leaf.
     fn cold_share(&self, limits: ServiceLimits, leaf: &ListedLeaf) -> ColdShare {
         let brokers = self.sharing_brokers.borrow();
         self.cold_shares.of(limits.cold_start, leaf, self.age(), &brokers)
     }
 
-    /// A request is about to be sent to a leaf.
+    /// Counts a request that is about to be sent against the cold rate of its leaf.
     pub fn request_sent(&self, leaf: &ListedLeaf, limits: ServiceLimits) {
         let now = self.clock.now();
         let limited = limits.cold_start.is_limited();
@@ -252,7 +253,7 @@
         }
     }
 
-    /// How many leaves are cold.
+    /// Number of cold leaves.
     pub fn cold_leaves(&self) -> usize {
         self.leaves.borrow().cold.count(self.clock.now())
     }
@@ -270,12 +271,12 @@
         }
     }
 
-    /// A leaf as the directory lists it.
+    /// The directory entry of a leaf.
     pub fn leaf(&self, identity: &LeafIdentity) -> Option<ListedLeaf> {
         self.leaves.borrow().directory.leaves().get(identity).cloned()
     }
 
-    /// A request for a service begins: it may be sent to one leaf.
+    /// Counts the first attempt of a request, which adds to the budget of extra requests.
     pub fn count_first_request(&self, service: &ServiceName) {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
@@ -283,7 +284,7 @@
         state.extra.earn(&self.extra_share(), now);
     }
 
-    /// Takes one extra request out of the budget of a service; false when there is no room.
+    /// Takes one extra request out of the budget of a service; false if there is no room.
     pub fn take_extra(&self, service: &ServiceName) -> bool {
         let now = self.clock.now();
         let share = self.extra_share();
@@ -298,13 +299,13 @@
         taken
     }
 
-    /// What this broker may send of the extra requests of any one service.
+    /// This broker's share of the extra requests of any one service.
     fn extra_share(&self) -> ExtraLoadShare {
         ExtraLoadShare::of(&self.extra, self.sharing_brokers.borrow().len())
     }
 
-    /// The totals of all brokers, and their difference from one line to the next, tell whose requests added up to
-    /// too many.
+    /// Logs the totals of a service with a spent budget. Compared over brokers and lines, they show
+    /// which requests used it up.
     fn log_extra_load_spent(&self, service: &ServiceName, totals: ExtraLoadTotals) {
         let ExtraLoadTotals { first, extra, refused } = totals;
         let brokers = self.sharing_brokers.borrow().len();
@@ -312,8 +313,9 @@
         info!(event = "extra_load_spent", %service, first, extra, refused, brokers, age_ms);
     }
 
-    /// In a request that began then, a leaf did so as measured by the other leaves of the request. That one of
-    /// another region is slow is not reported: distance may be the cause.
+    /// Records the conduct of a leaf in a request that began at `began`, relative to the other
+    /// leaves of the request. Slowness of a leaf in another region is left out: distance may be the
+    /// cause.
     pub fn observe(&self, leaf: &LeafIdentity, began: Timestamp, conduct: Conduct) {
         let leaves = self.leaves.borrow();
         let Some(listed) = leaves.directory.leaves().get(leaf) else {
@@ -325,12 +327,12 @@
         }
     }
 
-    /// The leaves that were slow or failed since this was asked last.
+    /// Takes the observations since the last call.
     pub fn take_observations(&self) -> Vec<LeafObservation> {
         self.observations.borrow_mut().take(self.clock.now())
     }
 
-    /// Many brokers find these leaves slow or failing.
+    /// Applies warnings of leaves that many brokers observe as slow or failing.
     pub fn apply_warnings(&self, warnings: &[LeafWarning]) {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
@@ -346,33 +348,33 @@
         info!(event = "leaves_avoided", count = named.len(), leaves = named.join(","));
     }
 
-    /// An attempt begins.
+    /// Counts an attempt as in flight.
     pub fn attempt_started(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, _, _| replicas.begin(leaf));
     }
 
-    /// An attempt has waited longer than expected.
+    /// Records that an attempt takes longer than expected.
     pub fn attempt_late(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, now, settings| replicas.late(now, settings, leaf));
     }
 
-    /// An attempt got no answer at all.
+    /// Records that an abandoned attempt got no reply at all.
     pub fn attempt_silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, now, settings| replicas.silent(now, settings, leaf));
     }
 
-    /// A leaf said on an answer how loaded it is.
+    /// Records the load that a leaf reported with a reply.
     pub fn load_reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
         self.with_replicas(service, |replicas, now, _| replicas.reported(now, leaf, report));
     }
 
-    /// The load that a leaf reported lately.
+    /// The load that a leaf reported recently, if any.
     pub fn reported_load(&self, service: &ServiceName, leaf: &LeafIdentity) -> Option<LoadReport> {
         let leaves = self.leaves.borrow();
         leaves.services.get(service)?.replicas.load(self.clock.now(), leaf)
     }
 
-    /// An attempt has ended.
+    /// Records the outcome of an attempt.
     pub fn attempt_finished(&self, service: &ServiceName, leaf: &LeafIdentity, outcome: Outcome) {
         if outcome == Outcome::AddressTaken {
             let now = self.clock.now();
@@ -395,19 +397,19 @@
         }
     }
 
-    /// An idle connection to a leaf.
+    /// Takes an idle connection to a leaf, if there is one.
     pub fn take_idle(&self, leaf: &LeafIdentity) -> Option<LeafConnection> {
         self.leaves.borrow_mut().pools.get_mut(leaf)?.take_idle()
     }
 
-    /// Counts a connection that is about to be opened, unless this broker has its share of those
-    /// that the leaf accepts.
+    /// Reserves a connection that is about to be opened; false if this broker has used up its share
+    /// of those that the leaf accepts.
     pub fn reserve_connection(&self, accepted: usize, leaf: &ListedLeaf) -> bool {
         let limit = self.connections.share(accepted, &leaf.zone);
         self.leaves.borrow_mut().pools.entry(leaf.identity.clone()).or_default().reserve(limit)
     }
 
-    /// Which connections to leaves of a service are kept ready.
+    /// The plan of standby connections to leaves of a service.
     fn plan(&self, leaves: &Leaves, service: &ServiceName, accepted: usize) -> Rc<ConnectionPlan> {
         self.connections.plan(service, accepted, || self.serving_leaves(leaves, service))
     }
@@ -428,28 +430,27 @@
         listed.filter(usable).map(|leaf| (leaf.identity.clone(), leaf.zone.clone())).collect()
     }
 
-    /// A connection to a leaf was opened in this time.
+    /// Records the time of opening a connection to a leaf.
     pub fn connection_opened(&self, leaf: &ListedLeaf, took: Duration) {
         self.connections.record_open_time(self.distance(leaf), took);
         self.connect_succeeded(leaf);
     }
 
-    /// Somebody took a connection at a leaf's address.
+    /// Records that a connection to the address of a leaf was accepted.
     pub fn connect_succeeded(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, now, settings| {
             replicas.took_connection(now, settings, &leaf.identity);
         });
     }
 
-    /// Nobody listens at a leaf's address.
+    /// Records that nothing listens at the address of a leaf.
     pub fn connect_refused(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, _, _| {
             replicas.refused_connection(&leaf.identity);
         });
     }
 
-    /// Logs the leaves that are presumed to have ended from now on; gives those to which a connection is to be
-    /// opened, to learn whether they are there.
+    /// Returns the leaves whose liveness is to be probed; logs those that are newly presumed ended.
     pub fn leaves_to_probe(&self) -> Vec<ListedLeaf> {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
@@ -466,13 +467,13 @@
         to_check
     }
 
-    /// Whether connections are kept ready for requests with this target latency.
+    /// Whether standby connections are kept for requests with this target latency.
     pub fn keeps_ready(&self, target: Duration) -> bool {
         self.connections.keeps_ready(self.age(), target)
     }
 
-    /// Leaves of a service to which a connection is to be kept ready and none is open, the nearest
-    /// first. Those that are left out for a reason of their own are left alone.
+    /// Leaves of a service to which a standby connection is planned and none is open, the nearest
+    /// first. Leaves that are out of service are skipped.
     pub fn leaves_needing_connection(
         &self,
         service: &ServiceName,
@@ -493,51 +494,52 @@
         identities.filter_map(|leaf| leaves.directory.leaves().get(leaf)).cloned().collect()
     }
 
-    /// A leaf took no connection: none is kept ready to it for a while.
+    /// Pauses standby connections to a leaf that accepted none.
     pub fn pause_standby(&self, leaf: &LeafIdentity) {
         self.connections.pause_standby(self.clock.now(), leaf);
     }
 
-    /// How long leaves of a service say that they keep idle connections.
+    /// How long leaves of a service keep idle connections, as they last stated.
     pub fn keep_alive_timeout(&self, service: &ServiceName) -> Option<Duration> {
         self.leaves.borrow().services.get(service)?.keep_alive_timeout
     }
 
-    /// A leaf of a service says how long it keeps idle connections.
+    /// Records how long a leaf of a service keeps idle connections, if it stated that.
     pub fn record_keep_alive_timeout(&self, service: &ServiceName, stated: Option<Duration>) {
         if let Some(state) = self.leaves.borrow_mut().services.get_mut(service) {
             state.keep_alive_timeout = stated.or(state.keep_alive_timeout);
         }
     }
 
-    /// A leaf answered on a new connection.
+    /// Records that a leaf replied on a new connection.
     pub fn connection_accepted(&self, leaf: &LeafIdentity) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
             pool.connection_accepted();
         }
     }
 
-    /// A leaf reset a new connection, which is still to be closed here; gives whether others to it
-    /// are open.
+    /// Records that a leaf reset a new connection, which still counts as open; returns whether
+    /// others to the leaf are open.
     pub fn connection_reset(&self, leaf: &LeafIdentity) -> bool {
         self.leaves.borrow_mut().pools.get_mut(leaf).is_some_and(LeafPool::connection_reset)
     }
 
-    /// A connection to a leaf is closed.
+    /// Releases a connection to a leaf that was closed.
     pub fn connection_closed(&self, leaf: &LeafIdentity) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
             pool.connection_closed();
         }
     }
 
-    /// A connection to a leaf is idle again. That to a leaf which is gone is closed.
+    /// Returns a connection to the idle pool of its leaf; closes it if the leaf is no longer
+    /// listed.
     pub fn return_connection(&self, leaf: &LeafIdentity, connection: LeafConnection) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
             pool.return_connection(connection);
         }
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes idle connections past their keep-alive timeout.
     pub fn close_expired(&self) {
         self.leaves.borrow_mut().pools.values_mut().for_each(LeafPool::close_expired);
     }
