--- a/crates/broker/src/routes/leaf_registry/choice.rs
+++ b/crates/broker/src/routes/leaf_registry/choice.rs
@@ -1,4 +1,4 @@
-//! Which leaf a request is sent to: of those that it may go to, the best.
+//! Selection of the leaf to which a request is sent.
 
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{Connectivity, Exclusion, NobodyReason, Selection};
@@ -9,18 +9,18 @@
 use super::LeafRegistry;
 use crate::routes::known_leaves::{Leaves, ServiceLimits};
 
-/// For what a leaf is asked.
+/// The request for which a leaf is selected.
 pub struct RequestContext<'request> {
     /// The route of the request.
     pub route: &'request Route,
     /// The tenant that sent it, where that is known.
     pub tenant: Option<&'request Tenant>,
-    /// The service that is asked.
+    /// The service whose leaves are considered.
     pub service: &'request ServiceName,
 }
 
 impl LeafRegistry {
-    /// Chooses a leaf other than those tried, by the first rule of versions by which one can be asked.
+    /// Selects a leaf that has not been tried, by the first version rule that leaves a candidate.
     pub fn choose(
         &self,
         context: &RequestContext<'_>,
@@ -58,7 +58,7 @@
         state.replicas.choose(self.clock.now(), settings, tried, reach, || self.draw())
     }
 
-    /// By what a leaf is reached, or why requests of the route and the tenant may not go there.
+    /// How a leaf can be reached, or why the request must not be sent to it.
     fn reach(
         &self,
         leaves: &Leaves,
