--- a/crates/broker/src/routes/known_leaves.rs
+++ b/crates/broker/src/routes/known_leaves.rs
@@ -1,4 +1,4 @@
-//! What a broker knows of leaves: the list in force, what was observed of each, and the connections.
+//! State of a broker's leaves: the directory in force, observations and connection pools.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,32 +13,32 @@
 use super::extra_load::ExtraLoad;
 use super::pool::LeafPool;
 
-/// What the leaves of a service bear from all brokers together.
+/// Limits of the leaves of a service, over all brokers together.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceLimits {
     /// Connections to each leaf.
     pub connections: usize,
-    /// How leaves start.
+    /// Request rate of leaves after their start.
     pub cold_start: ColdStart,
 }
 
 impl Default for ServiceLimits {
-    /// Nothing is known to limit them.
+    /// No limits.
     fn default() -> Self {
         Self { connections: usize::MAX, cold_start: ColdStart::default() }
     }
 }
 
-/// What is known of one service.
+/// State of one service.
 #[derive(Default)]
 pub(super) struct ServiceState {
     pub(super) replicas: ReplicaSet,
     pub(super) extra: ExtraLoad,
-    /// How long leaves of the service say that they keep idle connections.
+    /// How long leaves of the service keep idle connections, as they last stated.
     pub(super) keep_alive_timeout: Option<Duration>,
 }
 
-/// The list in force and what is known of its leaves.
+/// The directory in force and the state of its leaves.
 #[derive(Default)]
 pub(super) struct Leaves {
     pub(super) directory: LeafDirectory,
@@ -49,8 +49,8 @@
 }
 
 impl Leaves {
-    /// A request for a leaf arrived at another one, which has its address: the service of that one pays for
-    /// it, at once or when the list names it.
+    /// Charges a request that arrived at another leaf, now at the address of the `ended` one, to
+    /// the service of that other leaf: at once, or as soon as the directory lists it.
     pub(super) fn cover_misdirected(
         &mut self,
         now: Timestamp,
