--- a/crates/broker/src/routes/pool.rs
+++ b/crates/broker/src/routes/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one leaf that wait for their next request.
+//! Pool of keep-alive connections to one leaf.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use monoio::io::{AsyncWriteRentExt, OwnedWriteHalf, Splitable};
 use monoio::net::TcpStream;
 
-/// Time for which a connection is kept when the leaf does not say how long it does.
+/// Keep-alive timeout if the leaf states none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// Part of a leaf's own time after which a connection is not used again.
+/// Share of the leaf's keep-alive timeout after which a connection is not reused.
 const KEEP_ALIVE_SHARE: f64 = 0.8;
 
 /// A connection to a leaf; one request at a time.
@@ -27,7 +27,7 @@
     /// Connects to a leaf.
     ///
     /// # Errors
-    /// An [`io::Error`] when it does not take the connection.
+    /// An [`io::Error`] if the leaf does not accept the connection.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect_addr(address).await?;
         // Latency is measured in milliseconds here; a socket without the option still works.
@@ -37,8 +37,8 @@
         Ok(Self { reader: HttpReader::new(read_half), writer, expires_at })
     }
 
-    /// Writes a request while the response is already awaited: a leaf may answer before it has
-    /// read the whole body. Gives whether the request was written whole, too.
+    /// Writes a request and reads the response concurrently: a leaf may reply before it has read
+    /// the whole body. Also returns whether the request was written completely.
     ///
     /// # Errors
     /// A [`ReadError`] of the response, or of the socket.
@@ -60,12 +60,12 @@
         reading.await.map(|answer| (answer, true))
     }
 
-    /// Whether the leaf has sent nothing and has not closed the connection while it lay idle.
+    /// Whether the leaf has neither sent data nor closed the connection while it was idle.
     pub fn is_reusable(&mut self) -> bool {
         self.reader.is_empty() && self.reader.fill().now_or_never().is_none()
     }
 
-    /// The leaf said, or did not, how long it keeps the connection.
+    /// Sets the expiry from the keep-alive timeout that the leaf stated, if any.
     pub fn set_keep_alive(&mut self, stated: Option<Duration>) {
         let span = stated.map_or(DEFAULT_KEEP_ALIVE, |stated| stated.mul_f64(KEEP_ALIVE_SHARE));
         self.expires_at = Instant::now() + span;
@@ -81,7 +81,7 @@
 }
 
 impl LeafPool {
-    /// An idle connection that is still sound, the last used one first.
+    /// Takes a reusable idle connection, the most recently used first.
     pub fn take_idle(&mut self) -> Option<LeafConnection> {
         let now = Instant::now();
         while let Some(mut connection) = self.idle.pop() {
@@ -93,7 +93,7 @@
         None
     }
 
-    /// Whether a connection lies idle that may be used again.
+    /// Whether an idle connection has not expired.
     pub fn has_idle(&self) -> bool {
         let now = Instant::now();
         self.idle.iter().any(|connection| now < connection.expires_at)
@@ -104,41 +104,42 @@
         self.open > 0
     }
 
-    /// Whether another connection may be opened where `limit` may be open, and the leaf is observed to
-    /// accept it.
+    /// Whether another connection may be opened under `limit` and the number that the leaf was
+    /// observed to accept.
     pub fn has_room(&self, limit: usize) -> bool {
         self.open < limit.min(self.allowance.allowed())
     }
 
-    /// The leaf answered on a new connection.
+    /// Records that the leaf replied on a new connection.
     pub fn connection_accepted(&mut self) {
         self.allowance.accepted(self.open);
     }
 
-    /// The leaf reset a new connection, which still counts as open; gives whether others are.
+    /// Records that the leaf reset a new connection, which still counts as open; returns whether
+    /// others are open.
     pub fn connection_reset(&mut self) -> bool {
         self.allowance.refused(self.open);
         self.open > 1
     }
 
-    /// Counts a connection that is about to be opened, unless `limit` are open.
+    /// Reserves a connection that is about to be opened; false if the pool has no room.
     pub fn reserve(&mut self, limit: usize) -> bool {
         let reserved = self.has_room(limit);
         self.open += usize::from(reserved);
         reserved
     }
 
-    /// A connection that was taken is closed.
+    /// Releases a connection that was taken and closed.
     pub fn connection_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
 
-    /// A connection that was taken is idle again.
+    /// Returns a taken connection as idle.
     pub fn return_connection(&mut self, connection: LeafConnection) {
         self.idle.push(connection);
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes idle connections past their keep-alive timeout.
     pub fn close_expired(&mut self) {
         let now = Instant::now();
         let before = self.idle.len();
