--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -1,6 +1,6 @@
-//! Quotas of tenants at this broker: what is admitted, and what is reported of it.
+//! Rate limiting of tenants at this broker, and the usage reports for it.
 //!
-//! The state is borrowed between two waits only, never across one.
+//! No borrow of the state is held across an `await`.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 use crate::route_reports::{LinkNumber, LinkedUsage};
 
-/// What tenants with a quota sent to this broker.
+/// Requests of a tenant with a quota, since the start of this broker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TenantCount {
     /// The tenant.
@@ -34,13 +34,13 @@
     clock: Clock,
     meter: RefCell<QuotaMeter>,
     limited: RefCell<LimitedTenants>,
-    /// The link that is up.
+    /// The current link to a control process.
     link: Cell<Option<LinkNumber>>,
     random: RefCell<Pcg64>,
 }
 
 impl Quotas {
-    /// No tenant is known yet.
+    /// Creates quotas without any tenant.
     pub fn new(clock: Clock, settings: &RouteSettings, seed: u64) -> Self {
         let settings = QuotaSettings {
             window: Duration::from_millis(settings.quota_window_ms.into()),
@@ -56,30 +56,30 @@
         }
     }
 
-    /// Takes over the quotas of a configuration.
+    /// Applies the quotas of a configuration.
     pub fn configure(&self, tenants: &[Tenant]) {
         let quotas = tenants.iter().map(|tenant| (tenant.name.clone(), tenant.quota));
         self.meter.borrow_mut().configure(self.clock.now(), quotas);
     }
 
-    /// Takes over how many brokers may be serving.
+    /// Sets how many brokers may be serving.
     pub fn set_brokers(&self, brokers: usize) {
         self.meter.borrow_mut().set_brokers(brokers);
     }
 
-    /// A link to a control process is up, on which everything is reported that was not acknowledged.
+    /// Starts reporting on a new link to a control process, unacknowledged usage included.
     pub fn link_up(&self, link: LinkNumber) {
         self.meter.borrow_mut().link_lost(self.clock.now());
         self.link.set(Some(link));
     }
 
-    /// The link is lost.
+    /// Stops reporting until a new link is up.
     pub fn link_down(&self) {
         self.meter.borrow_mut().link_lost(self.clock.now());
         self.link.set(None);
     }
 
-    /// A control process told how the quotas stand.
+    /// Applies the usage of the whole fleet as a control process sent it.
     pub fn apply_fleet_usage(&self, usage: &FleetUsage) {
         self.meter.borrow_mut().told(self.clock.now(), usage);
     }
@@ -87,7 +87,7 @@
     /// Counts a request of a tenant against its quota.
     ///
     /// # Errors
-    /// When its caller may come back: it is beyond the quota.
+    /// The retry-after of a request beyond the quota.
     pub fn admit(&self, tenant: &TenantName) -> Result<(), Duration> {
         let now = self.clock.now();
         let draw = self.random.borrow_mut().random();
@@ -101,12 +101,12 @@
         Err(retry_after)
     }
 
-    /// A request that was counted reached no leaf.
+    /// Refunds a counted request that reached no leaf.
     pub fn refund(&self, tenant: &TenantName) {
         self.meter.borrow_mut().give_back(self.clock.now(), tenant);
     }
 
-    /// Logs the tenants that are not limited any more.
+    /// Logs the tenants that are no longer limited.
     pub fn log_relieved_tenants(&self) {
         for relief in self.limited.borrow_mut().relieved(self.clock.now()) {
             let (tenant, refused) = (relief.tenant, relief.refused);
@@ -115,14 +115,14 @@
         }
     }
 
-    /// What is due to be reported on the link that is up.
+    /// The usage report that is due on the current link, if any.
     pub fn report(&self) -> Option<LinkedUsage> {
         let link = self.link.get()?;
         let report = self.meter.borrow_mut().report(self.clock.now())?;
         Some(LinkedUsage { link, report })
     }
 
-    /// What each tenant with a quota sent, the most refused first.
+    /// Request counts of all tenants with a quota, the most refused first.
     pub fn counts(&self) -> Vec<TenantCount> {
         let meter = self.meter.borrow();
         let standing = meter.standing();
