--- a/crates/broker/src/routes/record.rs
+++ b/crates/broker/src/routes/record.rs
@@ -1,5 +1,5 @@
-//! What is recorded of a request: for admission once its outcome is known, for metrics and logs once
-//! it was answered.
+//! Record of a request: released from admission once its outcome is known, written to metrics and
+//! logs once it is answered.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,36 +15,36 @@
 use super::state::RouteState;
 use super::trail::RequestEnd;
 
-/// A request that was admitted and holds its place.
+/// Admission of a request that has not been released.
 struct Admitted {
     at: Instant,
-    /// Whether it could not be in time any more by then.
+    /// Whether it was admitted too late to be answered in time.
     was_late: bool,
 }
 
-/// What is recorded of a request when it ends, however it ends. Dropping it writes the metrics and
-/// the log lines.
+/// Record of a request. Dropping it, however the request ends, writes the metrics and the log
+/// lines.
 pub struct RequestRecord {
     state: Rc<RouteState>,
     request: ForwardedRequest,
     route: Option<Arc<Route>>,
     routes_version: RouteVersion,
-    /// Whether it was counted against the quota of its tenant.
+    /// Whether the request was counted against the quota of its tenant.
     quota_charged: bool,
-    /// None before and after it holds a place in admission.
+    /// Set while the request holds a place in admission.
     admitted: Option<Admitted>,
     outcome: &'static str,
     status: u16,
     parts: Option<(usize, usize)>,
     retry_after: Option<Duration>,
-    /// When a merged answer was complete enough to leave.
+    /// When a merged answer was complete enough to be sent.
     due: Option<Timestamp>,
-    /// When its outcome was known.
+    /// When the outcome was known.
     ended: Option<Instant>,
 }
 
 impl RequestRecord {
-    /// Nothing was decided yet.
+    /// Creates the record of a request with the outcome `caller_left` until another one is known.
     pub fn new(state: Rc<RouteState>, request: ForwardedRequest) -> Self {
         let routes_version = state.table().map_or(RouteVersion(0), |table| table.version());
         Self {
@@ -63,20 +63,20 @@
         }
     }
 
-    /// The request.
+    /// The request that the record is about.
     pub fn request(&self) -> &ForwardedRequest {
         &self.request
     }
 
-    /// Its route is known.
+    /// Sets the route of the request.
     pub fn set_route(&mut self, route: &Arc<Route>) {
         self.route = Some(route.clone());
     }
 
-    /// Counts it against the quota of its tenant.
+    /// Counts the request against the quota of its tenant.
     ///
     /// # Errors
-    /// When its caller may come back: it is beyond the quota.
+    /// The retry-after of a request beyond the quota.
     pub fn charge_quota(&mut self) -> Result<(), Duration> {
         if let Some(tenant) = &self.request.tenant {
             self.state.quotas.admit(&tenant.name)?;
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// A request that no leaf was asked for does not count against the quota of its tenant.
+    /// Refunds the quota of a request that was sent to no leaf.
     fn refund_quota(&self) {
         if let Some(tenant) = &self.request.tenant
             && self.quota_charged
@@ -95,19 +95,19 @@
         }
     }
 
-    /// It was admitted, too late to be answered in time or not.
+    /// Records the admission, and whether it came too late for an answer in time.
     pub fn admitted(&mut self, was_late: bool) {
         self.admitted = Some(Admitted { at: Instant::now(), was_late });
     }
 
-    /// It is refused, for a reason in one word.
+    /// Ends the request with a refusal; `reason` is the outcome in logs and metrics.
     pub fn refuse(&mut self, refusal: Refusal, reason: &'static str) -> Served {
         self.end(&Served::Refused(refusal));
         self.outcome = reason;
         Served::Refused(refusal)
     }
 
-    /// Its outcome is known; it gives its place in admission up.
+    /// Records the outcome and releases the place in admission.
     pub fn end(&mut self, served: &Served) {
         match served {
             Served::Merged(answer) => {
@@ -135,7 +135,7 @@
         self.leave_admission();
     }
 
-    /// Its answer was written whole.
+    /// Records the delivery time of a merged answer that was written completely.
     pub fn delivered(&self) {
         if let Some(due) = self.due {
             self.state.record_delivery(self.state.clock.now().since(due));
@@ -148,27 +148,27 @@
         }
     }
 
-    /// What its end says of the leaves: they do not answer for its wait where it was late already when it
-    /// was admitted.
+    /// The outcome as admission control counts it. Queueing time counts against the leaves unless
+    /// the request was late when it was admitted.
     fn admission_outcome(&self, route: &Route, admitted: &Admitted) -> Ended {
         let since = if admitted.was_late { admitted.at } else { self.request.received };
         match self.status {
             0 => Ended::GivenUp,
-            // It says nothing of the load of the leaves.
+            // A request that crashed leaves says nothing about their load.
             500.. if self.request.trail.leaves_ended() > 0 => Ended::GivenUp,
             200..=499 if is_in_time(route, since.elapsed()) => Ended::InTime,
             _ => Ended::Late { parts: self.request.trail.parts_in_time() },
         }
     }
 
-    /// From the arrival of the request until its outcome was known, or until its caller left.
+    /// Time from the arrival of the request to its outcome, or to the disconnect of its caller.
     fn held(&self) -> Duration {
         let ended = self.ended.unwrap_or_else(Instant::now);
         ended.saturating_duration_since(self.request.received)
     }
 }
 
-/// Whether the target latency of the route has not passed.
+/// Whether a request held for this time meets the target latency of its route.
 fn is_in_time(route: &Route, held: Duration) -> bool {
     held <= Duration::from_millis(route.target_latency_ms)
 }
