--- a/crates/broker/src/routes/trail.rs
+++ b/crates/broker/src/routes/trail.rs
@@ -1,8 +1,8 @@
-//! What was decided about one request, kept until it ends.
+//! Trail of one request: its attempts and decisions, kept until it ends.
 //!
-//! The lines are written when the request has ended: always for one that failed, was refused,
-//! came late or lacks parts, and for a sample of the others, chosen by the request's id so that
-//! every process samples the same ones.
+//! The log lines are written at the end: always for a request that failed, was refused, was late or
+//! lacks parts, and for a sample of the others. Sampling hashes the request id, so that every
+//! process samples the same requests.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -15,44 +15,44 @@
 use tracing::info;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most attempts of one request that are kept.
+/// Maximum number of attempts kept per request.
 const ATTEMPT_LIMIT: usize = 256;
-/// Attempts of a request that are all written; of more, only those that tell something: a request to
-/// ninety shards would else write a hundred lines, nearly all of them alike.
+/// Maximum number of attempts of a request that are all logged. Of more, only unusual ones are: a
+/// request to ninety shards would otherwise write a hundred nearly identical lines.
 const MAX_LOGGED_IN_FULL: usize = 16;
-/// Median times of the attempts of a request beyond which one of them is not usual.
+/// Multiple of the median time of a request's attempts beyond which an attempt is unusual.
 const USUAL_FACTOR: u32 = 2;
-/// Attempts of a request from which on their median tells what is slow.
+/// Minimum number of attempts of a request for its median to be a basis for comparison.
 const MIN_ATTEMPTS_FOR_MEDIAN: usize = 5;
-/// Median times of the attempts of a request after which a leaf counts as slow in it: beyond what the
-/// load of a moment does, and less than a slow disk or a pause.
+/// Multiple of the median time of a request's attempts beyond which a leaf counts as slow: above
+/// the effect of momentary load, below that of a slow disk or a pause.
 const SLOW_FACTOR: u32 = 4;
 /// The outcome of an attempt whose leaf answered.
 const ANSWERED: &str = "answered";
-/// The outcome of one whose leaf answered with a failure of its own.
+/// The outcome of an attempt whose leaf answered with a failure status.
 const ANSWERED_FAILURE: &str = "answered_failure";
-/// The outcome of one that the leaf did not run.
+/// The outcome of an attempt that the leaf refused to run.
 const REJECTED: &str = "rejected";
-/// The outcome of one whose connection ended under the request.
+/// The outcome of an attempt whose connection was lost after the request was sent.
 const LOST: &str = "connection_lost";
-/// The outcome of one whose reply was no whole answer.
+/// The outcome of an attempt whose reply was malformed or incomplete.
 const UNUSABLE: &str = "unusable_reply";
-/// Outcomes of requests that a leaf took and did not answer.
+/// Outcomes that count as a failure of the leaf.
 const FAILED: [&str; 3] = [ANSWERED_FAILURE, LOST, UNUSABLE];
 
-/// Why a leaf was asked.
+/// Reason of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptReason {
-    /// It was the first.
+    /// First attempt of the request at the service.
     First,
-    /// The one before has failed.
+    /// An earlier attempt has failed.
     Retry,
-    /// The one before takes longer than expected.
+    /// An earlier attempt takes longer than expected.
     Hedge,
 }
 
 impl AttemptReason {
-    /// In one word, as logs and metrics say it.
+    /// The reason as written in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -66,9 +66,9 @@
     service: ServiceName,
     leaf: LeafIdentity,
     reason: AttemptReason,
-    /// Whether the leaf had answered as expected lately.
+    /// Whether the leaf had recently answered as expected.
     sound: bool,
-    /// The load that it had reported lately.
+    /// The load that the leaf had recently reported.
     load: Option<LoadReport>,
     began: Instant,
     ended: Option<Ended>,
@@ -79,60 +79,60 @@
     outcome: &'static str,
 }
 
-/// An attempt in the trail of its request.
+/// Index of an attempt in the trail of its request.
 #[derive(Debug, Clone, Copy)]
 pub struct TrailEntry(usize);
 
-/// How a leaf did in one request.
+/// Conduct of a leaf in one request.
 pub struct LeafConduct {
     /// The leaf.
     pub leaf: LeafIdentity,
-    /// When it was asked.
+    /// When the attempt began.
     pub began: Instant,
-    /// What it did.
+    /// How the leaf did, relative to the others.
     pub conduct: Conduct,
 }
 
-/// What a request ended with.
+/// Summary of a request that has ended, for its log line.
 pub struct RequestEnd<'end> {
     /// Name of the route; empty when none matched.
     pub route: &'end str,
-    /// Name of the tenant; none where it is not known.
+    /// Name of the tenant, if known.
     pub tenant: Option<&'end str>,
     /// Version of the configuration by which it was handled.
     pub routes_version: RouteVersion,
-    /// Version of the list of leaves.
+    /// Version of the directory of leaves.
     pub directory_version: u64,
-    /// The outcome in one word.
+    /// The outcome as written in logs and metrics.
     pub outcome: &'static str,
-    /// The status that the caller gets; 0 when the caller left.
+    /// HTTP status of the answer; 0 if the caller disconnected first.
     pub status: u16,
-    /// From its arrival until its outcome was known.
+    /// Time from the arrival of the request to its outcome.
     pub held: Duration,
-    /// Parts that are in, and all parts.
+    /// Parts received, and all parts.
     pub parts: Option<(usize, usize)>,
-    /// When the caller is to come back, in milliseconds.
+    /// Retry-after, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// Whether it was answered whole and in time.
+    /// Whether the answer was complete and in time.
     pub ordinary: bool,
 }
 
-/// What was decided about one request.
+/// Attempts and decisions of one request.
 pub struct Trail {
     received: Instant,
     attempts: RefCell<Vec<Attempt>>,
-    /// Parts that came within the target latency, and all parts, of a request to many shards.
+    /// Parts received within the target latency, and all parts, of a request to many shards.
     parts_in_time: Cell<Option<(usize, usize)>>,
-    /// How carefully it was sent; none where it was not.
+    /// Caution with which the request was sent; none if it was not sent.
     caution: Cell<Option<Caution>>,
-    /// Leaves that ended under it.
+    /// Number of leaves that ended under the request.
     leaves_ended: Cell<u32>,
-    /// Why no leaf of a service could be asked; of several services, of the last.
+    /// Why no leaf could be asked; of several services, that of the last.
     no_leaf_reason: Cell<Option<NobodyReason>>,
 }
 
 impl Trail {
-    /// Nothing was decided yet.
+    /// Creates an empty trail.
     pub fn new(received: Instant) -> Self {
         Self {
             received,
@@ -154,37 +154,37 @@
         self.parts_in_time.get()
     }
 
-    /// It goes to leaves with this caution.
+    /// Records the caution with which the request is sent to leaves.
     pub fn sent_with(&self, caution: Caution) {
         self.caution.set(Some(caution));
     }
 
-    /// A leaf has ended under the request.
+    /// Counts a leaf that ended under the request.
     pub fn leaf_ended(&self) {
         self.leaves_ended.set(self.leaves_ended.get() + 1);
     }
 
-    /// How many leaves have ended under the request.
+    /// Number of leaves that ended under the request.
     pub fn leaves_ended(&self) -> u32 {
         self.leaves_ended.get()
     }
 
-    /// No leaf of a service could be asked, or could be by the end of the request's time.
+    /// Records why no leaf of a service could be asked within the request's time.
     pub fn set_no_leaf_reason(&self, reason: NobodyReason) {
         self.no_leaf_reason.set(Some(reason));
     }
 
-    /// What [`Self::nobody`] was told last; none before.
+    /// The reason recorded last by [`Self::set_no_leaf_reason`], if any.
     pub fn no_leaf_reason(&self) -> Option<NobodyReason> {
         self.no_leaf_reason.get()
     }
 
-    /// Whether any leaf was asked.
+    /// Whether the request was sent to any leaf.
     pub fn has_attempts(&self) -> bool {
         !self.attempts.borrow().is_empty()
     }
 
-    /// A leaf is asked.
+    /// Records the start of an attempt.
     pub fn attempt_started(
         &self,
         service: &ServiceName,
@@ -209,18 +209,18 @@
         entry
     }
 
-    /// A leaf replied with a status, or failed.
+    /// Records the end of an attempt: the status of the reply, or the error.
     pub fn attempt_ended(&self, entry: TrailEntry, outcome: Result<u16, AttemptError>) {
-        // One beyond the limit is not kept.
+        // Attempts beyond the limit are not kept.
         if let Some(attempt) = self.attempts.borrow_mut().get_mut(entry.0) {
             let took = attempt.began.elapsed();
             attempt.ended = Some(Ended { took, outcome: outcome_name(outcome) });
         }
     }
 
-    /// What the attempts say of the leaves that were asked: which failed, and of those asked first for a
-    /// request to many shards also which took far longer than the others. Where few were asked, nobody
-    /// is slow or sound.
+    /// Conduct of the leaves that were asked: which failed, and among first attempts of a request
+    /// to many shards also which took far longer than the others. With few attempts no leaf counts
+    /// as slow or sound.
     pub fn leaf_conducts(&self) -> Vec<LeafConduct> {
         let attempts = self.attempts.borrow();
         let enough = attempts.len() >= MIN_ATTEMPTS_FOR_MEDIAN;
@@ -228,8 +228,8 @@
         attempts.iter().filter_map(|attempt| attempt.leaf_conduct(slow_after)).collect()
     }
 
-    /// Writes the lines of a request that has ended, unless it is an ordinary one that is not in
-    /// the sample: one in `sample` is.
+    /// Writes the log lines of a request that has ended. Of ordinary requests only one in `sample`
+    /// is logged.
     pub fn write(&self, id: &[u8], end: &RequestEnd<'_>, sample: u64) {
         let sampled = sample > 0 && xxh3_64(id).is_multiple_of(sample);
         if end.ordinary && !sampled {
@@ -264,7 +264,7 @@
 }
 
 impl Attempt {
-    /// How the leaf did; none when it could not show it.
+    /// Conduct of the leaf; none if the attempt says nothing about it.
     fn leaf_conduct(&self, slow_after: Option<Duration>) -> Option<LeafConduct> {
         let conduct = self.conduct(slow_after)?;
         Some(LeafConduct { leaf: self.leaf.clone(), began: self.began, conduct })
@@ -287,8 +287,8 @@
         }
     }
 
-    /// Whether a sound leaf, asked first, answered about as soon as the leaves of the other parts:
-    /// such an attempt explains nothing.
+    /// Whether this is a first attempt at a sound leaf that answered about as fast as the leaves of
+    /// the other parts. Such an attempt does not explain the outcome and is not logged.
     fn is_usual(&self, usual: Option<Duration>) -> bool {
         let answered = |ended: &Ended| ended.outcome == ANSWERED && Some(ended.took) <= usual;
         self.reason == AttemptReason::First
@@ -315,8 +315,8 @@
     }
 }
 
-/// What an attempt may take that is left out of the lines of a request to many shards; none where
-/// there are too few attempts to leave one out.
+/// Time up to which an attempt is left out of the log lines of a request to many shards; none if
+/// there are few enough attempts to log all.
 fn usual_time(attempts: &[Attempt]) -> Option<Duration> {
     if attempts.len() <= MAX_LOGGED_IN_FULL {
         return None;
@@ -336,7 +336,7 @@
     Some(*times.select_nth_unstable(middle).1)
 }
 
-/// How an attempt ended, in one word, as logs and metrics say it.
+/// The outcome of an attempt as written in logs and metrics.
 pub fn outcome_name(outcome: Result<u16, AttemptError>) -> &'static str {
     match outcome {
         Ok(200..=299) => ANSWERED,
