--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -1,4 +1,4 @@
-//! The requests under which leaves have ended, as this broker holds them, and what it tells others of them.
+//! Detection of requests that crash leaves: what this broker knows of them and reports to others.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,30 +23,31 @@
 use super::route_metrics::RouteMetrics;
 use crate::route_reports::FoundCrash;
 
-/// Time that the control tier has to decide on a trial.
+/// Timeout of asking the control tier for a trial.
 const TRIAL_LIMIT: Duration = Duration::from_secs(1);
-/// When a caller is asked to come back after no trial was granted.
+/// Retry-after if no trial was granted.
 const TRIAL_PAUSE: Duration = Duration::from_secs(30);
-/// Longest time after which a caller is asked to come back: an operator may have released the request by then.
+/// Upper limit of retry-after: an operator may release the request earlier than its refusal
+/// expires.
 const LONGEST_WAIT: Duration = Duration::from_secs(300);
 
 /// Watches for requests that crash leaves.
 pub struct CrashWatch {
     clock: Clock,
     suspects: RefCell<CrashSuspects>,
-    /// What the answers of each route to many shards usually take.
+    /// Observed answer times of each route to many shards.
     rooms: RefCell<BTreeMap<String, CanaryRoom>>,
-    /// Routes whose requests all go to few leaves first, however long they take.
+    /// Routes whose requests all go to canary leaves first, regardless of latency.
     canary_routes: RefCell<BTreeSet<String>>,
     findings: Tx<FoundCrash>,
-    /// Requests that were given up lately: their leaves may end under them all the same.
+    /// Recently abandoned requests: their leaves may still end under them.
     given_up: RefCell<GivenUpRequests>,
-    /// Requests that wait for a trial, by the number of the question.
+    /// Requests that wait for a trial, by ticket.
     trials: RefCell<BTreeMap<u64, oneshot::Sender<bool>>>,
 }
 
 impl CrashWatch {
-    /// Nothing is held of any request; what is found goes to `findings`.
+    /// Creates a watch without suspects that sends its findings to `findings`.
     pub fn new(clock: Clock, findings: Tx<FoundCrash>) -> Self {
         Self {
             clock,
@@ -59,9 +60,9 @@
         }
     }
 
-    /// How carefully a request of a route is sent of which nothing speaks for caution. One to many shards goes to
-    /// few leaves first, where there is time for it: nobody knows of a request that it crashes leaves until it
-    /// has, and without this it takes a leaf of each shard with it.
+    /// Caution for a request that is not suspected. One to many shards goes to canary leaves first
+    /// if the target latency leaves time for it: that a request crashes leaves is not known until
+    /// it has, and without canaries it would crash a leaf of each shard.
     pub fn default_caution(&self, route: &Route) -> Caution {
         let Destination::Shards(_) = route.destination else {
             return Caution::None;
@@ -75,7 +76,8 @@
         }
     }
 
-    /// An answer of a route was complete enough to leave so long after all its leaves had been asked.
+    /// Records how long after the request was sent to all shards its answer was complete enough to
+    /// be sent.
     pub fn gathered(&self, route: &Route, took: Duration) {
         let mut rooms = self.rooms.borrow_mut();
         if !rooms.contains_key(&route.name) {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// How long a request is refused, whatever else speaks for it; none where it may be sent, or a trial asked for.
+    /// How long a request is still refused; none if it may be sent or a trial is due.
     pub fn refusal_left(&self, route: &Route, request: &ForwardedRequest) -> Option<Duration> {
         let now = self.clock.now();
         match self.treatment(now, route, request) {
@@ -95,11 +97,11 @@
         }
     }
 
-    /// How carefully a request is to be sent: as `usual`, unless leaves have ended under it or its like. Where a trial is
-    /// due, it waits until the control tier has granted it or not.
+    /// Caution with which a request is to be sent: `default`, unless leaves have ended under it or
+    /// requests like it. If a trial is due, waits for the decision of the control tier.
     ///
     /// # Errors
-    /// The time until it may be sent again, while it is refused.
+    /// The retry-after of a refused request.
     pub async fn caution(
         &self,
         route: &Route,
@@ -123,8 +125,8 @@
         self.with_suspects(request, query).unwrap_or(Treatment::Usual)
     }
 
-    /// Looks at what is held of a request; none while nothing is held of any: a digest takes time, and no request pays
-    /// for it then.
+    /// Queries the suspects for a request. None while there are no suspects, which saves the cost
+    /// of the digest.
     fn with_suspects<T>(
         &self,
         request: &ForwardedRequest,
@@ -146,7 +148,7 @@
         let Some(finding) = self.suspects.borrow().refusal(now, request.digest()) else {
             return false;
         };
-        // A report lasts as long as its finding, and the answer is waited for no longer.
+        // The report expires with its finding, which is as long as the answer is waited for.
         let finding = CrashFinding { for_ms: TRIAL_LIMIT.as_millis() as u32, ..finding };
         let ticket = rand::rng().random();
         let (answer, answered) = oneshot::channel();
@@ -159,7 +161,7 @@
         granted
     }
 
-    /// The control tier has decided on a trial.
+    /// Delivers the control tier's decision on a trial.
     pub fn trial_answered(&self, ticket: u64, granted: bool) {
         if let Some(waiting) = self.trials.borrow_mut().remove(&ticket) {
             // The caller may have left.
@@ -167,7 +169,7 @@
         }
     }
 
-    /// The control tier has these in its replicated state.
+    /// Applies findings of the control tier's replicated state.
     pub fn apply_recorded_findings(&self, findings: &[CrashFinding], is_whole: bool) {
         let now = self.clock.now();
         if self.suspects.borrow_mut().recorded(now, findings, is_whole) {
@@ -175,36 +177,38 @@
         }
     }
 
-    /// A link to a control process is up: it is told what may have been lost on another.
+    /// Reports unrecorded findings again on a new link to a control process: they may have been
+    /// lost with the previous one.
     pub fn link_up(&self) {
         let unrecorded = self.suspects.borrow().unrecorded(self.clock.now());
         unrecorded.into_iter().for_each(|finding| self.report(finding, None));
     }
 
-    /// Whether a request is to be sent to nobody, as this or another broker found.
+    /// Whether a request must not be sent to any leaf, as this or another broker found.
     pub fn is_refused(&self, request: &ForwardedRequest) -> bool {
         let now = self.clock.now();
         self.with_suspects(request, |suspects, digest| suspects.is_refused(now, digest))
             .unwrap_or(false)
     }
 
-    /// A request was given up while it was under way.
+    /// Records an attempt that was abandoned while in flight.
     pub fn given_up(&self, under_way: UnderWay) {
         self.given_up.borrow_mut().add(self.clock.now(), under_way);
     }
 
-    /// Leaves to look at: requests were given up there of which no leaf has told anything.
+    /// Takes the leaves to probe, at which unanswered requests were abandoned.
     pub fn take_unchecked(&self) -> BTreeSet<LeafIdentity> {
         self.given_up.borrow_mut().take_unchecked()
     }
 
-    /// Nobody listens any more at the address of a leaf: it has ended under what was given up there lately.
+    /// Records that nothing listens at the address of a leaf: it has ended under the requests
+    /// recently abandoned there.
     pub fn leaf_is_gone(&self, metrics: &RouteMetrics, leaf: &LeafIdentity) {
         let ended = self.given_up.borrow_mut().take_at(self.clock.now(), leaf);
         ended.iter().for_each(|under_way| self.leaf_ended(metrics, under_way));
     }
 
-    /// A leaf has ended under a request.
+    /// Records that a leaf has ended under a request.
     pub fn leaf_ended(&self, metrics: &RouteMetrics, end: &UnderWay) {
         let now = self.clock.now();
         metrics.leaf_ended(&end.route);
@@ -231,7 +235,7 @@
         }
     }
 
-    /// A leaf has replied to a request.
+    /// Records that a leaf has replied to a request, which clears its suspicion.
     pub fn replied(&self, request: &ForwardedRequest) {
         let Some(held) = self.with_suspects(request, CrashSuspects::replied).flatten() else {
             return;
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Other brokers' findings.
+    /// Applies findings of other brokers.
     pub fn apply_peer_findings(&self, findings: &[CrashFinding]) {
         let now = self.clock.now();
         for finding in findings {
@@ -252,8 +256,8 @@
         }
     }
 
-    /// Forgets what has ended, and logs which routes have begun or ceased to send each request to few leaves first
-    /// because leaves have ended under their requests.
+    /// Updates the routes that send each request to canary leaves first because leaves have ended
+    /// under their requests, and logs the changes.
     pub fn refresh_canary_routes(&self) {
         let current = self.suspects.borrow_mut().canary_routes(self.clock.now());
         let mut known = self.canary_routes.borrow_mut();
@@ -266,18 +270,20 @@
         *known = current;
     }
 
-    /// How many requests are sent to nobody.
+    /// Number of requests that are sent to no leaf.
     pub fn refused(&self) -> usize {
         self.suspects.borrow().refused()
     }
 
-    /// How many routes send each request to few leaves first because leaves have ended under their requests.
+    /// Number of routes that send each request to canary leaves first because leaves have ended
+    /// under their requests.
     pub fn canary_routes(&self) -> usize {
         self.canary_routes.borrow().len()
     }
 }
 
-/// What is the same in all tries of a request, whoever sends it: neither its id nor its other fields.
+/// Digest of method, host, target and body: equal in all retries of a request by any caller. The id
+/// and the other header fields are left out.
 pub fn request_digest(method: &str, host: &str, target: &str, body: &[u8]) -> RequestDigest {
     let mut hasher = Xxh3::new();
     for part in [method.as_bytes(), host.as_bytes(), target.as_bytes(), body] {
