--- a/crates/broker/src/routes/serving.rs
+++ b/crates/broker/src/routes/serving.rs
@@ -1,4 +1,4 @@
-//! One request from its route to its outcome.
+//! Serves one request, from the route lookup to its outcome.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 use super::respond::{MergedAnswer, Refusal};
 use super::state::RouteState;
 
-/// When a caller is asked to come back after no leaf took its request.
+/// Retry-after if no leaf accepted the request.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// When a caller is asked to come back whose request no leaf may serve as routes and leaves are: about as
-/// long as an operator's change or news of leaves take to be in force.
+/// Retry-after if no leaf may serve the request under the current routes and leaves: about as long
+/// as a change of either takes to be in force.
 const LASTING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When a caller is asked to come back while no control process is in touch.
+/// Retry-after while no control process is reachable.
 const OUT_OF_TOUCH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a request.
+/// Outcome of a request.
 pub enum Served {
     /// Parts of several leaves, merged.
     Merged(MergedAnswer),
@@ -38,9 +38,9 @@
     Refused(Refusal),
 }
 
-/// Serves one request. When the future is dropped the caller has left, and everything for the
-/// request is cancelled. The record is to be kept until the answer is written: what it writes then may
-/// take longer than the answer.
+/// Serves one request. Dropping the future, as when the caller disconnects, cancels all its work.
+/// The record must be kept until the answer is written: writing its log lines may take longer than
+/// the answer.
 pub async fn serve(
     state: &Rc<RouteState>,
     mut request: ForwardedRequest,
@@ -78,7 +78,7 @@
         return (record.refuse(Refusal::NotRun { retry_after }, "leaves_overloaded"), record);
     }
     record.admitted(state.clock.now() >= candidate.in_time_until);
-    // What others found while it waited counts, too.
+    // Findings that arrived while the request was queued count, too.
     let usual = state.crashes.default_caution(&route);
     let caution = state.crashes.caution(&route, record.request(), usual).await;
     let served = match caution {
@@ -92,7 +92,7 @@
     (served, record)
 }
 
-/// Refuses a request whose like has crashed leaves: it comes back when one try is let through.
+/// Refuses a request that has crashed leaves, with a retry-after at which a trial may be due.
 fn refuse_crashing_request(
     state: &RouteState,
     route: &Route,
@@ -103,7 +103,8 @@
     record.refuse(Refusal::NotRun { retry_after: left }, "crashes_leaves")
 }
 
-/// Whether a request is refused for want of a key. Its head tells, so that its body need not be read.
+/// Whether a request is refused for lack of a key. The head decides, so that the body need not be
+/// read.
 pub fn lacks_key(state: &RouteState, head: &RequestHead) -> bool {
     find_route(state, head).is_err_and(|refused| refused.refusal == Refusal::Unauthorized)
 }
@@ -115,13 +116,13 @@
     refusal
 }
 
-/// A request that is refused by its head, for a reason in one word.
+/// Refusal decided by the head of a request, with the outcome for logs and metrics.
 struct RefusedByHead {
     refusal: Refusal,
     reason: &'static str,
 }
 
-/// Where a request goes, and whose it is.
+/// Route and caller of a request.
 struct MatchedRequest {
     table: Rc<RouteTable>,
     route: Arc<Route>,
@@ -182,8 +183,8 @@
     }
 }
 
-/// What a caller is told whose request gets no answer. One that has not run is to come back after the usual
-/// time, or later where the reason lasts.
+/// The refusal of a request that got no answer. One that has not run may be retried after
+/// `default_retry_after`, or later if the reason is lasting.
 pub(super) fn refusal_without_answer(
     request: &ForwardedRequest,
     time_is_over: bool,
