--- a/crates/broker/src/routes/dialect.rs
+++ b/crates/broker/src/routes/dialect.rs
@@ -7,9 +7,9 @@
 pub struct Dialect {
     /// Id of a request, given by the caller and repeated by the leaf.
     pub request_id: &'static str,
-    /// Milliseconds that are left for a request.
+    /// Time left for a request, in milliseconds.
     pub deadline: &'static str,
-    /// Identity of the leaf that is meant; any other one refuses the request.
+    /// Identity of the intended leaf; any other leaf refuses the request.
     pub expected_leaf: &'static str,
     /// A leaf's attestation of its answer.
     pub attestation: &'static str,
@@ -17,17 +17,17 @@
     pub part_attestations: &'static str,
     /// How many shards are missing from a gathered answer.
     pub missing_parts: &'static str,
-    /// A leaf's word of its load.
+    /// Load report of a leaf.
     pub load: &'static str,
-    /// Understands that word; none where it is not as agreed.
+    /// Parses a load report; none if it is malformed.
     pub parse_load_report: fn(&str) -> Option<LoadReport>,
     /// Marks an answer of a leaf that did not run the request.
     pub not_executed: &'static str,
     /// Name of the tenant that sent a request, for leaves.
     pub tenant: &'static str,
-    /// Name of the scheme by which callers show their key.
+    /// Authentication scheme with which callers send their key.
     pub key_scheme: &'static str,
-    /// Path on which readiness is asked for.
+    /// Path of the readiness check.
     pub readiness_path: &'static str,
 }
 
@@ -50,8 +50,8 @@
     }
 }
 
-/// Reads the product's own form of a leaf's load: `running,waiting,slots` or `running,waiting,slots,pace`, the pace in percent of the usual time
-/// that work takes on the leaf's machine.
+/// Parses a load report of the form `running,waiting,slots` or `running,waiting,slots,pace`; the
+/// pace is the time that work takes on the leaf's machine, in percent of the usual time.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut figures = text.split(',').map(|figure| figure.trim().parse().ok());
     let mut next = || figures.next().flatten();
