--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -1,7 +1,7 @@
-//! What the tasks that serve routes share: the configuration in force, the leaves, admission, and
-//! whether this broker serves.
+//! State shared by the tasks that serve routes: the configuration in force, the leaves, admission
+//! control and readiness.
 //!
-//! All tasks run on one thread. The state is borrowed between two waits only, never across one.
+//! All tasks run on one thread. No borrow of the state is held across an `await`.
 
 use gingerkeel_domain::directory::ListedLeaf;
 use std::cell::{Cell, RefCell};
@@ -37,54 +37,54 @@
 use crate::route_reports::FoundCrash;
 use crate::stop::StopSignal;
 
-/// Least time after which a caller is asked to come back while nothing is known yet.
+/// Minimum retry-after until the first configuration arrives.
 const MIN_STARTUP_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Share of the answers of a route that take no longer than is usual.
+/// Quantile of a route's latency that counts as usual.
 const USUAL_QUANTILE: f64 = 0.5;
-/// Part of its whole time after which a request that waits for admission is given up, so that its
-/// caller can still turn to another broker.
+/// Share of a request's time for which it waits for admission at most, so that its caller can still
+/// retry at another broker.
 const WAIT_SHARE: f64 = 0.7;
-/// Part of its remaining time for which a request waits while nothing is known yet.
+/// Share of a request's remaining time for which it waits for the first configuration.
 const START_WAIT_SHARE: f64 = 0.7;
-/// Share of the answers of a route that take no longer than is expected of one in a planned stop.
+/// Quantile of a route's latency that is expected of a request during a planned stop.
 const STOP_QUANTILE: f64 = 0.98;
 
-/// The shared state.
+/// State shared by the tasks that serve routes.
 pub struct RouteState {
     /// Names of header fields.
     pub dialect: Dialect,
-    /// Settings of the serving of routes.
+    /// Settings of route serving.
     pub settings: RouteSettings,
-    /// The clock.
+    /// Monotonic clock; it starts with the process.
     pub clock: Clock,
     /// Counters and latencies.
     pub metrics: RouteMetrics,
-    /// The leaves.
+    /// Known leaves and their connections.
     pub leaves: LeafRegistry,
     /// Quotas of tenants.
     pub quotas: Quotas,
-    /// Admission of requests.
+    /// Admission control.
     pub admission: Admission,
-    /// Requests that crash leaves.
+    /// Detection of requests that crash leaves.
     pub crashes: CrashWatch,
-    /// Moves of services to other software versions.
+    /// Roll-outs of software versions.
     pub rollouts: RolloutTable,
     table: RefCell<Option<Rc<RouteTable>>>,
     latencies: RefCell<BTreeMap<String, LatencyWindow>>,
-    /// Turns of each route that splits its requests.
+    /// Weighted round-robin state of each route with a traffic split.
     splits: RefCell<BTreeMap<String, SplitTurns>>,
     fresh_until: Cell<Timestamp>,
     stop: Cell<Option<PlannedStop>>,
-    /// Given once a configuration and a list of leaves are in force.
+    /// Given once a configuration and a directory of leaves are in force.
     ready: StopSignal,
-    /// What merged answers of this broker take to leave.
+    /// Observed delivery time of merged answers.
     delivery: Cell<DeliveryTime>,
     random: RefCell<Pcg64>,
 }
 
 impl RouteState {
-    /// Nothing is known yet.
+    /// Creates the state without a configuration or leaves.
     pub fn new(
         broker: BrokerSettings,
         settings: RouteSettings,
@@ -117,9 +117,9 @@
         }
     }
 
-    /// Waits until a configuration and a list of leaves are in force, for a part of the time that is
-    /// left until `deadline` and for no longer than the settings say. A request that waits has not
-    /// run; told to come back it would find the same.
+    /// Waits until a configuration and a directory of leaves are in force, for a share of the time
+    /// left until `deadline` and at most for the configured time. An immediate refusal would only
+    /// make the caller retry while nothing has changed.
     pub async fn wait_until_ready(&self, deadline: Instant) {
         if self.ready.is_given() {
             return;
@@ -127,11 +127,11 @@
         let left = deadline.saturating_duration_since(Instant::now());
         let longest = Duration::from_millis(self.settings.start_wait_ms.into());
         let wait = longest.min(left.mul_f64(START_WAIT_SHARE));
-        // Without news the request is refused by what follows.
+        // After a timeout the request is refused by the route lookup.
         let _ = timeout(wait, self.ready.given()).await;
     }
 
-    /// Says that requests can be served, once they can.
+    /// Gives the ready signal once a configuration and a directory are in force.
     pub fn signal_if_ready(&self) {
         if self.leaves.is_listed() && self.table.borrow().is_some() && !self.ready.is_given() {
             self.ready.give();
@@ -143,7 +143,8 @@
         self.table.borrow().clone()
     }
 
-    /// Whether requests can be served: a configuration and a list of leaves are in force.
+    /// Whether requests can be served: a current configuration and directory are in force, and no
+    /// planned stop has begun.
     pub fn is_ready(&self) -> bool {
         self.leaves.is_listed()
             && !self.is_out_of_date()
@@ -151,23 +152,23 @@
             && !self.is_stopping()
     }
 
-    /// When a caller is asked to come back while nothing is known yet.
+    /// Retry-after until the first configuration arrives.
     pub fn startup_retry_after(&self) -> Duration {
         let expected = Duration::from_millis(self.settings.start_ms.into());
         expected.saturating_sub(self.now().since(Timestamp::ZERO)).max(MIN_STARTUP_RETRY_AFTER)
     }
 
-    /// What is held was confirmed, and counts until then.
+    /// Sets until when the configuration counts as confirmed by control.
     pub fn set_fresh_until(&self, until: Timestamp) {
         self.fresh_until.set(until);
     }
 
-    /// Whether control confirmed lately what is held.
+    /// Whether control has recently confirmed the configuration.
     pub fn is_fresh(&self) -> bool {
         self.now() < self.fresh_until.get()
     }
 
-    /// Whether requests have to be refused because what is held may be out of date.
+    /// Whether requests must be refused because the configuration may be stale.
     pub fn is_out_of_date(&self) -> bool {
         let refuses = self.settings.out_of_touch == OutOfTouchSetting::Refuse;
         refuses && !self.is_fresh()
@@ -178,12 +179,12 @@
         self.stop.get().is_some()
     }
 
-    /// The planned stop that has begun.
+    /// The planned stop in progress, if any.
     pub fn planned_stop(&self) -> Option<PlannedStop> {
         self.stop.get()
     }
 
-    /// A planned stop begins, unless one has.
+    /// Begins a planned stop, or returns the one in progress.
     pub fn stop(&self) -> PlannedStop {
         let length = Duration::from_millis(self.settings.stop_ms.into());
         let stop = self.stop.get().unwrap_or_else(|| PlannedStop::begin(self.now(), length));
@@ -191,8 +192,8 @@
         stop
     }
 
-    /// Whether a request of a route is taken on: always, unless a planned stop may end before the
-    /// request does.
+    /// Whether a request of a route is accepted: not if a planned stop may end before the request
+    /// does.
     pub fn accepts(&self, route: &Route) -> bool {
         let Some(stop) = self.stop.get() else {
             return true;
@@ -202,7 +203,7 @@
         stop.takes(self.now(), target.max(measured))
     }
 
-    /// Puts a configuration in force, unless one of this or a higher version is.
+    /// Replaces the configuration, unless the one in force has this version or a higher one.
     pub fn replace_routes(&self, configuration: RouteConfiguration) {
         let held = self.table.borrow().as_ref().map(|table| table.version());
         let version = configuration.version;
@@ -222,18 +223,18 @@
         *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(configuration)));
     }
 
-    /// Leaves of these zones get no new work; those of all others do.
+    /// Sets the zones whose leaves get no new work.
     pub fn set_evacuated_zones(&self, zones: BTreeSet<ZoneName>) {
         self.leaves.set_evacuated_zones(zones, |service| self.service_limits(service).cold_start);
     }
 
-    /// Takes over how far the roll-outs are. Connections are kept ready to other leaves from then on.
+    /// Applies the state of the roll-outs and invalidates the plans of standby connections.
     pub fn apply_rollouts(&self, rollouts: Rollouts) {
         self.rollouts.put_in_force(rollouts);
         self.leaves.invalidate_plans();
     }
 
-    /// The service of a split whose turn it is.
+    /// The next service of a traffic split, by weighted round-robin.
     pub fn next_of_split(&self, route: &Route, parts: &[WeightedService]) -> Option<ServiceName> {
         let mut splits = self.splits.borrow_mut();
         let turns = splits
@@ -242,7 +243,7 @@
         turns.next(parts).map(|part| part.service.clone())
     }
 
-    /// A number from 0 to 1.
+    /// A uniform random number in 0..1.
     pub fn draw(&self) -> f64 {
         self.random.borrow_mut().random()
     }
@@ -251,7 +252,7 @@
         self.clock.now()
     }
 
-    /// What the leaves of a service bear from all brokers together.
+    /// Limits of the leaves of a service, over all brokers together.
     pub fn service_limits(&self, service: &ServiceName) -> ServiceLimits {
         let table = self.table.borrow();
         let known = table.as_ref().and_then(|table| table.service(service));
@@ -261,8 +262,8 @@
         })
     }
 
-    /// Up to `most` leaves of shards to which a connection is to be kept ready and none is open, each
-    /// with its service.
+    /// Up to `most` leaves of shards to which a standby connection is planned and none is open,
+    /// each with its service.
     pub fn standby_targets(&self, most: usize) -> Vec<(ServiceName, ListedLeaf)> {
         let Some(table) = self.table() else {
             return Vec::new();
@@ -278,7 +279,7 @@
         leaves.take(most).collect()
     }
 
-    /// What admission has to know of a request.
+    /// The request as admission control sees it.
     pub fn candidate(
         &self,
         table: &RouteTable,
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Records how long a leaf took for a request of a route.
+    /// Records the latency of a leaf's reply to a request of a route.
     pub fn record_latency(&self, route: &Route, latency: Duration) {
         let now = self.now();
         let mut latencies = self.latencies.borrow_mut();
@@ -309,15 +310,15 @@
         }
     }
 
-    /// A merged answer took this long to leave.
+    /// Records the delivery time of a merged answer.
     pub fn record_delivery(&self, took: Duration) {
         let mut delivery = self.delivery.get();
         delivery.observe(took);
         self.delivery.set(delivery);
     }
 
-    /// When an answer is finished that should be with its caller `target` after its request was
-    /// received.
+    /// When a merged answer has to be complete to reach its caller within `target` of the request's
+    /// arrival.
     pub fn soft_deadline(&self, received: Timestamp, target: Duration) -> Timestamp {
         let margin = AnswerMargin {
             least: Duration::from_millis(self.settings.answer_margin_ms.into()),
@@ -327,7 +328,7 @@
         margin.soft_moment(received, target, &self.delivery.get())
     }
 
-    /// The latency that this share of the answers of a route keeps to, if enough are known.
+    /// A quantile of a route's observed latency; none with too few samples.
     pub fn latency(&self, route: &Route, quantile: f64) -> Option<Duration> {
         self.latencies.borrow().get(&route.name)?.quantile(quantile)
     }
