--- a/crates/broker/src/routes/rollouts.rs
+++ b/crates/broker/src/routes/rollouts.rs
@@ -1,6 +1,6 @@
-//! Roll-outs at this broker: which versions a request may go to, and what is reported of their answers.
+//! Roll-outs at this broker: which versions a request may go to, and the evidence reported of them.
 //!
-//! The state is borrowed between two waits only, never across one.
+//! No borrow of the state is held across an `await`.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -14,14 +14,14 @@
 };
 use tracing::info;
 
-/// Least status that tells of a leaf's failure.
+/// Lowest HTTP status that counts as a failure of the leaf.
 const FIRST_FAILURE: u16 = 500;
 
 /// Roll-outs in force at this broker.
 #[derive(Default)]
 pub struct RolloutTable {
     in_force: RefCell<Rollouts>,
-    /// What came to light since the last report.
+    /// Evidence since the last report.
     evidence: RefCell<GatheredEvidence>,
 }
 
@@ -30,14 +30,14 @@
 pub enum Conclusion {
     /// The leaf answered with this status.
     Answered(u16),
-    /// There was no answer, for this reason.
+    /// The attempt failed without an answer.
     Unanswered(AttemptError),
-    /// It was given up.
+    /// The attempt was abandoned.
     GivenUp,
 }
 
 impl RolloutTable {
-    /// Takes over the roll-outs that control has in force.
+    /// Replaces the roll-outs with those that control has in force.
     pub fn put_in_force(&self, rollouts: Rollouts) {
         let before = self.in_force.replace(rollouts);
         let in_force = self.in_force.borrow();
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Which leaves of a service a request may go to.
+    /// Rules for the versions of a service that a request may go to.
     pub fn rules(&self, service: &ServiceName, standing: Standing) -> VersionRules {
         self.in_force.borrow().rules(service, standing)
     }
 
-    /// Whether a leaf gets no request of this broker, as roll-outs are, for as long as they stay so.
+    /// Whether the roll-outs, in their present stage, keep all requests from a leaf.
     pub fn excludes(&self, leaf: &ListedLeaf) -> bool {
         let in_force = self.in_force.borrow();
         let Some(rollout) = in_force.get(&leaf.service) else {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// How many roll-outs are under way.
+    /// Number of roll-outs under way.
     pub fn under_way(&self) -> usize {
         let in_force = self.in_force.borrow();
         in_force.all().filter(|rollout| rollout.stage.is_under_way()).count()
@@ -88,19 +88,19 @@
         })
     }
 
-    /// A request for a service begins.
+    /// Counts a request for a service.
     pub fn requested(&self, service: &ServiceName) {
         self.update_evidence(service, |_, evidence| evidence.requests += 1);
     }
 
-    /// A request is sent to a leaf.
+    /// Counts a request sent to a leaf if the leaf runs the target version.
     pub fn sent(&self, leaf: &ListedLeaf) {
         self.update_evidence(&leaf.service, |rollout, evidence| {
             evidence.exposed += u64::from(leaf.version == rollout.order.target);
         });
     }
 
-    /// An attempt has ended after this time.
+    /// Counts the outcome and the duration of an attempt.
     pub fn ended(&self, attempt: &ObservedAttempt<'_>, conclusion: Conclusion, took: Duration) {
         let leaf = attempt.leaf;
         self.update_evidence(&leaf.service, |rollout, evidence| {
@@ -115,7 +115,7 @@
         });
     }
 
-    /// Changes the evidence of the roll-out of a service that is under way, if there is one.
+    /// Changes the evidence of the service's roll-out, if one is under way.
     fn update_evidence(&self, service: &ServiceName, change: impl FnOnce(&Rollout, &mut Evidence)) {
         let in_force = self.in_force.borrow();
         if in_force.is_empty() {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What came to light since this was asked last.
+    /// Takes the reports of the evidence since the last call.
     pub fn take_reports(&self) -> Vec<RolloutReport> {
         self.evidence.borrow_mut().take_reports()
     }
@@ -141,7 +141,7 @@
         Conclusion::Answered(_)
         | Conclusion::Unanswered(AttemptError::Lost | AttemptError::Unusable) => tally.failed += 1,
         Conclusion::GivenUp => *tally.given_up.entry(bucket).or_default() += 1,
-        // The leaf has not run it, or was not there: that says nothing of its version.
+        // The leaf was unavailable or has not run the request, which says nothing of its version.
         Conclusion::Unanswered(_) => {}
     }
 }
@@ -157,7 +157,7 @@
 }
 
 impl<'attempt> ObservedAttempt<'attempt> {
-    /// An attempt begins.
+    /// Starts the time of an attempt, which counts as abandoned until concluded.
     pub fn begin(
         table: &'attempt RolloutTable,
         route: &'attempt str,
@@ -168,7 +168,7 @@
         Self { table, route, leaf, distance, began, conclusion }
     }
 
-    /// It has ended by itself.
+    /// Records how the attempt ended.
     pub fn conclude(mut self, conclusion: Conclusion) {
         self.conclusion = conclusion;
     }
