--- a/crates/broker/src/routes/readiness.rs
+++ b/crates/broker/src/routes/readiness.rs
@@ -1,4 +1,4 @@
-//! The answer to the question whether this broker is ready for callers.
+//! HTTP readiness endpoint of the broker.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 
 use super::state::RouteState;
 
-/// Pause after a connection could not be accepted, as when descriptors are short.
+/// Pause after a failed accept, such as without free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers for ever.
+/// Serves readiness checks; never returns.
 pub async fn serve(listener: TcpListener, state: Rc<RouteState>) {
     loop {
         match listener.accept().await {
