--- a/crates/broker/src/routes/authentication.rs
+++ b/crates/broker/src/routes/authentication.rs
@@ -1,4 +1,4 @@
-//! Who calls: the tenant whose key a request shows.
+//! Authentication of callers by the key in the request head.
 
 use std::sync::Arc;
 
@@ -7,23 +7,24 @@
 
 use super::dialect::Dialect;
 
-/// Field in which callers show their key, after the name of the scheme.
+/// Header field with the scheme and the key.
 pub const AUTHORIZATION: &str = "authorization";
 
-/// Who sent a request.
+/// The authenticated sender of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerIdentity {
-    /// Anybody: the configuration names no tenants, and the caller's fields go on as they are.
+    /// Not authenticated: the configuration requires no keys, and the caller's fields are forwarded
+    /// as they are.
     Unchecked,
-    /// Checked: a tenant, or nobody in particular on a public route.
+    /// Authenticated as a tenant, or anonymous on a public route.
     Checked(Option<Arc<Tenant>>),
 }
 
-/// The request shows no key of a tenant, though it has to.
+/// The request has no valid key of a tenant, though one is required.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// What a request shows of a key.
+/// The key found in a request.
 enum PresentedKey {
     Missing,
     Key(KeyDigest),
@@ -32,7 +33,7 @@
 }
 
 impl CallerIdentity {
-    /// The tenant, where it is known.
+    /// The tenant, if known.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Unchecked => None,
@@ -40,17 +41,17 @@
         }
     }
 
-    /// Whether leaves learn who calls from the broker alone, and never a key.
+    /// Whether the broker replaces the caller's identity fields, so that leaves get no keys.
     pub fn is_checked(&self) -> bool {
         matches!(self, Self::Checked(_))
     }
 }
 
-/// Finds out who sent a request of a route. On a public route no key is needed, but one that is shown
-/// has to be known all the same: a caller whose key was revoked is not to go unnoticed.
+/// Authenticates the sender of a request. A public route needs no key, but a key that is sent must
+/// be valid: a revoked key must not go unnoticed.
 ///
 /// # Errors
-/// [`UnknownKey`] when the request is to be refused.
+/// [`UnknownKey`] if the key is missing, unknown or ambiguous.
 pub fn authenticate(
     dialect: &Dialect,
     keys: &KeyIndex,
@@ -70,7 +71,7 @@
     }
 }
 
-/// The key that a request shows in the product's scheme; credentials of other schemes are none.
+/// The key of a request in the configured scheme; credentials of other schemes are ignored.
 fn presented_key(dialect: &Dialect, headers: &Headers) -> PresentedKey {
     let mut keys = headers.all(AUTHORIZATION).filter_map(|value| key_of(dialect, value));
     match (keys.next(), keys.next()) {
