--- a/crates/broker/src/routes/tenant_metrics.rs
+++ b/crates/broker/src/routes/tenant_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of tenants with quotas, as many as fit into a bounded page however many tenants there are.
+//! Metrics of tenants with quotas, with a bounded number of time series.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::family::Family;
@@ -7,12 +7,12 @@
 
 use super::quota::TenantCount;
 
-/// Tenants that are named; all others are counted together.
+/// Tenants with time series of their own; all others are counted together.
 const NAMED_TENANTS: usize = 20;
 
 /// Requests within the quota.
 const ADMITTED: &str = "admitted";
-/// Requests beyond it.
+/// Requests beyond the quota.
 const OVER_QUOTA: &str = "over_quota";
 
 /// Requests of a tenant.
@@ -28,7 +28,7 @@
     outcome: &'static str,
 }
 
-/// Requests of tenants with quotas. They are gauges: the tenants that are named change.
+/// Requests of tenants with quotas. They are gauges because the set of named tenants changes.
 #[derive(Default)]
 pub struct TenantMetrics {
     named: Family<TenantLabels, Gauge>,
@@ -36,7 +36,7 @@
 }
 
 impl TenantMetrics {
-    /// Adds them to a page.
+    /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         let help = "Requests since the start of the tenants that were refused most";
         registry.register("tenant_requests", help, self.named.clone());
@@ -44,7 +44,7 @@
         registry.register("other_tenant_requests", help, self.others.clone());
     }
 
-    /// Takes over the counts, the most refused first.
+    /// Replaces the values; `counts` has the most refused tenants first.
     pub fn set(&self, counts: &[TenantCount]) {
         self.named.clear();
         let (named, others) = counts.split_at(counts.len().min(NAMED_TENANTS));
