--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one leaf, and its reply.
+//! A single attempt: sends a request to one leaf and reads its reply.
 
 use std::cell::{Cell, OnceCell};
 use std::io::ErrorKind;
@@ -25,39 +25,39 @@
 use super::state::RouteState;
 use super::trail::Trail;
 
-/// Bytes of a leaf's head.
+/// Maximum size of a reply head, in bytes.
 const HEAD_LIMIT: usize = 32 * 1024;
-/// Bytes of a reply that are held before they are handed on; a longer reply is streamed.
+/// Size up to which a reply body is buffered, in bytes; a longer one is streamed.
 const BUFFERED_REPLY_BYTES: usize = 64 * 1024;
-/// Bytes that a usual head of a caller needs as leaves get it.
+/// Initial capacity for a forwarded head, in bytes.
 const FORWARDED_HEAD_BYTES: usize = 256;
-/// Bytes that the fields need which differ from leaf to leaf, with the end of the head.
+/// Extra capacity for the fields that differ per leaf and for the end of the head, in bytes.
 const OWN_FIELD_BYTES: usize = 128;
-/// Replies to other requests that are passed over on one connection.
+/// Maximum number of late replies to other requests that are skipped on a connection.
 const MAX_STALE_REPLIES: usize = 2;
 
-/// A caller's request as it goes to leaves.
+/// A caller's request as it is forwarded to leaves.
 pub struct ForwardedRequest {
     /// Its head.
     pub head: RequestHead,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// The tenant that sent it, where that is known.
+    /// The tenant that sent the request, if known.
     pub tenant: Option<Arc<Tenant>>,
-    /// The head as leaves get it, but for what differs from one to another and its end; empty until it is
-    /// known who calls.
+    /// The head as forwarded, without the fields that differ per leaf and without its end; empty
+    /// until the caller is authenticated.
     pub forwarded_head: Vec<u8>,
-    /// Its id, as the caller sent it.
+    /// Request id, as the caller sent it.
     pub id: Vec<u8>,
-    /// When it was received.
+    /// When the request was received.
     pub received: Instant,
-    /// When it has to be answered.
+    /// When the request has to be answered.
     pub deadline: Instant,
-    /// What was decided about it.
+    /// Attempts and decisions so far.
     pub trail: Trail,
-    /// What all attempts tell of whether it has run.
+    /// Evidence of all attempts on whether the request has run.
     pub evidence: Cell<ExecutionEvidence>,
-    /// What is the same in all its tries, once somebody has asked.
+    /// Cache of [`Self::digest()`].
     pub digest: OnceCell<RequestDigest>,
 }
 
@@ -68,14 +68,14 @@
         self.evidence.set(evidence);
     }
 
-    /// What is the same in all its tries.
+    /// Digest that is equal in all retries of the request.
     pub fn digest(&self) -> RequestDigest {
         let host = self.head.headers.text("host").unwrap_or_default();
         let (method, target) = (&self.head.method, &self.head.target);
         *self.digest.get_or_init(|| request_digest(method, host, target, &self.body))
     }
 
-    /// It is known who sent it, and with it what leaves get.
+    /// Sets the authenticated caller and encodes the head to forward.
     pub fn identify(&mut self, dialect: &Dialect, caller: &CallerIdentity) {
         self.tenant = caller.tenant().cloned();
         self.forwarded_head = forwarded_head(dialect, &self.head, &self.body, caller);
@@ -90,7 +90,7 @@
 
 /// A leaf's reply.
 pub struct LeafReply {
-    /// Which leaf.
+    /// The leaf that replied.
     pub leaf: LeafIdentity,
     /// Its head.
     pub head: ResponseHead,
@@ -100,27 +100,27 @@
     pub framing: BodyFraming,
     /// The body, or its first part.
     pub body: Bytes,
-    /// The rest of the body; none when it is whole.
+    /// Stream of the rest of the body; none if `body` is complete.
     pub rest: Option<ReplyStream>,
 }
 
 impl ReplyStream {
-    /// The next piece; none once the body is whole.
+    /// The next piece; none at the end of the body.
     ///
     /// # Errors
-    /// A [`ReadError`] when the reply is cut short.
+    /// A [`ReadError`] if the reply is cut short.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         self.connection.reader.body_piece(&mut self.decoder).await
     }
 }
 
-/// Counts an attempt as ended, however it ends.
+/// Records the end of an attempt when dropped, however it ends.
 struct AttemptGuard<'state> {
     state: &'state RouteState,
     service: &'state ServiceName,
     leaf: &'state LeafIdentity,
     started: Instant,
-    /// Whether a connection is counted that is to be given back or closed.
+    /// Whether a connection is reserved that has to be returned or closed.
     holds_connection: bool,
     /// Whether the connection is new.
     is_new: bool,
@@ -128,8 +128,8 @@
 }
 
 impl AttemptGuard<'_> {
-    /// What a connection says of the leaf that was reset: where it is new and others are open, the
-    /// leaf has as many as it accepts, and is as sound as before.
+    /// Outcome of a connection reset. If the connection is new and others are open, the leaf is at
+    /// its connection limit, which is no failure.
     fn reset_outcome(&mut self) -> Outcome {
         match self.is_new && self.state.leaves.connection_reset(self.leaf) {
             true => Outcome::Rejected,
@@ -152,8 +152,8 @@
     }
 }
 
-/// Sends a request to a leaf and reads its reply. Dropping the future closes the connection, by
-/// which the leaf drops the request.
+/// Sends a request to a leaf and reads its reply. Dropping the future closes the connection, which
+/// cancels the request at the leaf.
 ///
 /// # Errors
 /// An [`AttemptError`] that tells whether the request may have run.
@@ -276,7 +276,8 @@
         guard.holds_connection = false;
     }
     if another_leaf {
-        // Nothing else is asked of whoever it is under the name of this leaf.
+        // The address belongs to another leaf now: the connection is not reused under this one's
+        // name.
         return Err(AttemptError::AnotherLeaf);
     }
     if rejected {
@@ -286,8 +287,7 @@
     Ok(LeafReply { leaf, head, head_only, framing, body, rest: None })
 }
 
-/// Reads the head of the reply to this very request. A late reply to another one may come first;
-/// it is passed over.
+/// Reads the head of the reply to the request `id`. Late replies to earlier requests are skipped.
 async fn read_head(
     reader: &mut HttpReader,
     method: &str,
@@ -300,7 +300,7 @@
             continue;
         }
         let repeated = head.headers.get(id_name);
-        // A refusal may name no request; an answer that is used names this one.
+        // Error replies may lack the request id; a success reply must repeat it.
         let nameless = repeated.is_none() && (id.is_empty() || head.status >= 400);
         if nameless || repeated == Some(id) {
             return Ok(head);
@@ -335,14 +335,15 @@
     Ok(body.freeze())
 }
 
-/// How long the leaf says that it keeps an idle connection.
+/// The keep-alive timeout that the leaf stated, if any.
 fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
     let text = head.headers.text("keep-alive")?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// What is the same in the requests to all leaves: the start line, the caller's own fields and who calls.
+/// The part of the head that is equal for all leaves: request line, the caller's fields and the
+/// tenant.
 fn forwarded_head(
     dialect: &Dialect,
     head: &RequestHead,
@@ -384,13 +385,14 @@
     bytes
 }
 
-/// Whether the broker sets the field itself.
+/// Whether the broker replaces the field.
 fn is_replaced(dialect: &Dialect, name: &[u8]) -> bool {
     let own = [dialect.deadline, dialect.expected_leaf, "content-length", "expect"];
     own.iter().any(|field| name.eq_ignore_ascii_case(field.as_bytes()))
 }
 
-/// Whether a field of the caller's says who calls, which leaves learn from the broker alone.
+/// Whether a field of the caller states an identity, which the broker replaces after
+/// authentication.
 fn is_identity(dialect: &Dialect, caller: &CallerIdentity, name: &[u8]) -> bool {
     let own = [dialect.tenant, AUTHORIZATION];
     caller.is_checked() && own.iter().any(|field| name.eq_ignore_ascii_case(field.as_bytes()))
