--- a/crates/broker/src/routes/respond.rs
+++ b/crates/broker/src/routes/respond.rs
@@ -1,4 +1,4 @@
-//! Answers to callers as bytes.
+//! Encoding of answers to callers.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::attempt::{LeafReply, add_field};
 use super::dialect::Dialect;
 
-/// A refusal of the broker's own, or the word that it has no answer.
+/// An error answer of the broker itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
     /// The head or the body is not valid HTTP.
@@ -21,26 +21,26 @@
     HeadTooLarge,
     /// No route matches.
     NoRoute,
-    /// The request shows no key of a tenant.
+    /// The request has no valid key of a tenant.
     Unauthorized,
-    /// The request has not run; the caller may come back.
+    /// The request has not run; the caller may retry.
     NotRun {
-        /// When.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// Its tenant has used its quota up; the request has not run.
+    /// The tenant's quota is used up; the request has not run.
     OverQuota {
         /// When the quota has room again.
         retry_after: Duration,
     },
     /// No leaf gave a usable reply; the request may have run.
     NoReply,
-    /// The time of the request is over; it may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 }
 
 impl Refusal {
-    /// In one word, as logs and metrics say it.
+    /// The outcome as written in logs and metrics.
     pub fn outcome(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The status.
+    /// HTTP status code.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -109,13 +109,13 @@
 
 /// A merged answer.
 pub struct MergedAnswer {
-    /// The attestations of the parts that are in.
+    /// The attestations of the parts received.
     pub attestations: Vec<Vec<u8>>,
-    /// How many parts are missing.
+    /// Number of missing parts.
     pub missing: usize,
-    /// The records.
+    /// The merged records, encoded.
     pub records: Vec<u8>,
-    /// When it was complete enough to leave.
+    /// When the answer was complete enough to be sent.
     pub due: Timestamp,
 }
 
@@ -135,17 +135,17 @@
 /// How a relayed body is framed towards the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayFraming {
-    /// The whole body follows the head at once.
+    /// The complete body follows with the head.
     Whole,
-    /// Its length is known from the leaf.
+    /// The leaf stated the length of the body.
     Length(u64),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// There is none.
+    /// No body.
     None,
 }
 
-/// The head of a relayed reply, and how its body follows.
+/// Encodes the head of a relayed reply; returns it with the framing of the body.
 pub fn relayed_head(reply: &LeafReply, keep_alive: bool) -> (Vec<u8>, RelayFraming) {
     let mut bytes = status_line(reply.head.status);
     let headers = &reply.head.headers;
