--- a/crates/broker/src/routes/callers.rs
+++ b/crates/broker/src/routes/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! HTTP server for callers.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -24,20 +24,20 @@
 use super::trail::Trail;
 use crate::stop::StopSignal;
 
-/// Pause after a connection could not be accepted, as when descriptors are short.
+/// Pause after a failed accept, such as without free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest that a request is held when its caller names no deadline and its route is unknown.
+/// Deadline of a request whose caller states none and whose route is unknown.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// Bytes that are read and dropped after a refusal, so that it reaches the caller.
+/// Bytes that are read and discarded after a refusal, so that the refusal reaches the caller.
 const DISCARD_BYTES: usize = 1024 * 1024;
-/// Time for that.
+/// Timeout of discarding.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of further requests that are read ahead while one is served.
+/// Bytes of pipelined requests that are read ahead while one is served.
 const READ_AHEAD_BYTES: usize = 32 * 1024;
-/// Time that a caller has to take a part of its answer.
+/// Timeout of writing a piece of an answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Takes callers' connections.
+/// Accepts connections of callers.
 pub struct CallerServer {
     state: Rc<RouteState>,
     stop: StopSignal,
@@ -46,24 +46,24 @@
 
 /// Why a connection ends.
 enum ConnectionEnd {
-    /// After the answer that was written, or without one.
+    /// Closed after an answer was written, or without one.
     Closed,
-    /// After this refusal.
+    /// Closed after this refusal.
     Refused(Refusal),
 }
 
 impl CallerServer {
-    /// A server that has no connections yet.
+    /// Creates a server without connections.
     pub fn new(state: Rc<RouteState>, stop: StopSignal) -> Self {
         Self { state, stop, open: Rc::default() }
     }
 
-    /// Connections that are open.
+    /// Counter of open connections.
     pub fn open_connections(&self) -> Rc<Cell<usize>> {
         self.open.clone()
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections; never returns.
     pub async fn run(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection as open until dropped.
 struct OpenCount(Rc<Cell<usize>>);
 
 impl OpenCount {
@@ -137,7 +137,7 @@
                 }
             }
         }
-        // The caller may be gone.
+        // The caller may have disconnected.
         let _ = self.writer.shutdown().await;
     }
 
@@ -171,15 +171,15 @@
         if keep_alive { Ok(()) } else { Err(ConnectionEnd::Closed) }
     }
 
-    /// Refuses a request whose body is not worth reading. The connection ends with it, or the body would
-    /// be taken for the next request.
+    /// Refuses a request without reading its body. The connection is closed, since the body would
+    /// be parsed as the next request.
     fn refuse_unread(&self, head: RequestHead, received: Instant) -> ConnectionEnd {
         let request = self.build_request(head, Bytes::new(), received);
         ConnectionEnd::Refused(refuse_unread(&self.state, request))
     }
 
-    /// Waits for the first byte of a request. A planned stop ends the wait: soon, unless the caller
-    /// has come only since.
+    /// Waits for the first byte of a request. A planned stop ends the wait: early for connections
+    /// that were opened before it, at its end for newer ones.
     async fn wait_for_request(&mut self) -> Result<(), ConnectionEnd> {
         if !self.reader.is_empty() {
             return Ok(());
@@ -243,8 +243,7 @@
         }
     }
 
-    /// Serves a request unless its caller leaves before, or a planned stop is about to end; then
-    /// everything for it is cancelled.
+    /// Serves a request; cancels it if the caller disconnects or a planned stop is about to end.
     async fn serve_while_connected(
         &mut self,
         request: ForwardedRequest,
@@ -283,7 +282,8 @@
         }
     }
 
-    /// Relays a reply. One that is cut short ends the connection, so that it looks cut short.
+    /// Relays a reply. If the leaf's reply is cut short, the connection is closed so that the
+    /// caller sees a truncated reply.
     async fn relay(&mut self, reply: LeafReply, keep_alive: bool) -> Result<(), ConnectionEnd> {
         let (mut bytes, framing) = relayed_head(&reply, keep_alive);
         add_piece(&mut bytes, &reply.body, framing);
@@ -323,12 +323,13 @@
     }
 }
 
-/// Whether a body follows a head. One that is framed wrongly is refused by whoever reads it.
+/// Whether a body follows the head. Invalid framing counts as none here and is refused when the
+/// body is read.
 fn has_body(head: &RequestHead) -> bool {
     request_framing(&head.headers).is_ok_and(|framing| framing != BodyFraming::None)
 }
 
-/// Ends once a planned stop has come to this moment of its times.
+/// Completes once a planned stop has reached the given phase.
 async fn stop_phase_reached(
     state: &RouteState,
     stop: &StopSignal,
