--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! Serving of routes: requests by host and path to one leaf, or to one leaf of each shard.
+//! Route serving: forwards requests by host and path to one leaf, or to one leaf of each shard.
 
 mod admission;
 mod attempt;
@@ -55,16 +55,16 @@
 use callers::CallerServer;
 use state::RouteState;
 
-/// Time between two looks at idle connections.
+/// Interval of closing expired connections and updating canary routes.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two reports of slow leaves: what they tell is of use for some seconds.
+/// Interval of reporting slow leaves; a report is useful for a few seconds.
 const SLOW_LEAVES_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two reports of what tenants used: a killed broker takes what it did not report with it,
-/// and what all brokers admit within it can be too much once.
+/// Interval of usage reports. A killed broker loses the usage not yet reported, and the brokers
+/// together may once exceed a quota by what they admit within one interval.
 const USAGE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reports of roll-outs: a bad version gets requests for as long as nobody knows.
+/// Interval of roll-out reports; a bad version keeps getting requests until it is reported.
 const ROLLOUTS_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at whether a planned stop is done.
+/// Interval of checking whether a planned stop is complete.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
 /// Serves routes, and nothing else, until a planned stop has finished what was in flight. The
