--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -38,7 +38,7 @@
 
 /// A caller's request as it is forwarded to leaves.
 pub struct ForwardedRequest {
-    /// Its head.
+    /// HTTP head.
     pub head: RequestHead,
     /// Complete body.
     pub body: Bytes,
@@ -92,7 +92,7 @@
 pub struct LeafReply {
     /// The leaf that replied.
     pub leaf: LeafIdentity,
-    /// Its head.
+    /// Head of the reply.
     pub head: ResponseHead,
     /// Whether the request asked for the head alone.
     pub head_only: bool,
--- a/crates/broker/src/routes/extra_load/tests.rs
+++ b/crates/broker/src/routes/extra_load/tests.rs
@@ -1,4 +1,4 @@
-//! What is counted of extra requests, and when it is told that a budget is spent.
+//! Totals of extra requests, and how often a spent budget is reported.
 
 use gingerkeel_domain::forwarding::ExtraLoadSettings;
 
--- a/crates/broker/src/routes/known_leaves/tests.rs
+++ b/crates/broker/src/routes/known_leaves/tests.rs
@@ -1,4 +1,4 @@
-//! Which service pays for a request that arrived at another leaf than the one that was meant.
+//! Which service is charged for a request that arrived at another leaf than the intended one.
 
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::identifiers::{SoftwareVersion, ZoneName};
@@ -9,7 +9,7 @@
 const EXTRA: ExtraLoadSettings =
     ExtraLoadSettings { ratio: 1.0, window: Duration::from_secs(10), slack: 3.0 };
 
-/// The share of the only broker: it saves up three extra requests, one for each of three requests.
+/// The share of a single broker: three requests earn three extra requests.
 fn share() -> ExtraLoadShare {
     ExtraLoadShare::of(&EXTRA, 1)
 }
@@ -27,7 +27,7 @@
     }
 }
 
-/// Leaves as listed; each of their services had three requests.
+/// Leaves with this directory, after three requests for each of their services.
 fn known(listed: &[ListedLeaf]) -> Leaves {
     let mut leaves = Leaves::default();
     let delta = leaves.directory.delta_to(listed).expect("a first list");
@@ -39,7 +39,7 @@
     leaves
 }
 
-/// Extra requests that a service may still send.
+/// Number of extra requests that a service may still send.
 fn left(leaves: &mut Leaves, service: &str) -> usize {
     let service = ServiceName::new(service);
     let state = leaves.services.get_mut(&service).expect("a service");
--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -67,8 +67,8 @@
 /// Interval of checking whether a planned stop is complete.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Serves routes, and nothing else, until a planned stop has finished what was in flight. The
-/// settings are read again from `source` when it changes.
+/// Serves only routes, until a planned stop has finished the requests in flight. The settings are
+/// reloaded from `source` when it changes.
 ///
 /// # Errors
 /// An [`io::Error`] when an address cannot be bound or signals cannot be watched.
@@ -92,15 +92,15 @@
     Ok(())
 }
 
-/// The serving of routes in this process.
+/// Route serving of this process.
 pub struct RouteServer {
     state: Rc<RouteState>,
     open: Rc<Cell<usize>>,
 }
 
 impl RouteServer {
-    /// Listens for callers, who are served once the news of routes and leaves have come over the
-    /// channel that is given back. What control is to hear of goes to `reporters`.
+    /// Listens for callers. They are served once routes and leaves have arrived on the returned
+    /// channel. Reports to control go to `reporters`.
     ///
     /// # Errors
     /// An [`io::Error`] when an address cannot be bound.
@@ -150,8 +150,8 @@
         Ok((Self { state, open }, updates))
     }
 
-    /// A planned stop has begun: waits until no connection is open and none can come any more, or
-    /// the time is over.
+    /// Begins a planned stop and waits until no connection is open and no new ones are expected, or
+    /// until the stop times out.
     pub async fn finish(self) {
         info!(event = "stopping", open = self.open.get());
         let (clock, stop) = (self.state.clock, self.state.stop());
@@ -161,12 +161,12 @@
             }
             sleep(STOP_POLL).await;
         }
-        // What was read from them has its answer.
+        // Requests read from these connections have been answered.
         warn!(event = "stopped_with_open_connections", open = self.open.get());
     }
 }
 
-/// Follows the control processes for ever.
+/// Starts the feed from the control processes.
 fn follow(
     settings: BrokerSettings,
     clock: Clock,
@@ -176,11 +176,11 @@
 ) {
     let run = BrokerRun(rand::rng().random());
     let (engine, mut messages) = unbounded::channel();
-    // Without queries there is nothing to charge for and nothing to report.
+    // A broker without queries discards the messages for the query engine.
     monoio::spawn(async move { while messages.recv().await.is_some() {} });
     let (last_report, last_reports) = unbounded::channel();
     monoio::spawn(async move {
-        // Kept so that the feed does not take it for the end of the process.
+        // Kept open: the feed would take a closed channel for the end of the process.
         let _last_report = last_report;
         let inputs = FeedInputs { last_reports, controls, route_reports };
         feed::follow(settings, run, clock, engine, inputs, Some(updates)).await;
@@ -220,7 +220,7 @@
     }
 }
 
-/// Reports the leaves that were slow, for as long as somebody takes the reports.
+/// Reports slow leaves until the receiver is dropped.
 async fn report_slow_leaves(state: Rc<RouteState>, reports: bounded::Tx<SlowLeaves>) {
     loop {
         sleep(SLOW_LEAVES_INTERVAL).await;
@@ -236,7 +236,7 @@
     }
 }
 
-/// Reports what tenants used of their quotas, for as long as somebody takes the reports.
+/// Reports the quota usage of tenants until the receiver is dropped.
 async fn report_usage(state: Rc<RouteState>, reports: bounded::Tx<LinkedUsage>) {
     loop {
         sleep(USAGE_INTERVAL).await;
@@ -249,7 +249,7 @@
     }
 }
 
-/// Reports what came to light of roll-outs, for as long as somebody takes the reports.
+/// Reports the evidence of roll-outs until the receiver is dropped.
 async fn report_rollouts(state: Rc<RouteState>, reports: bounded::Tx<Vec<RolloutReport>>) {
     loop {
         sleep(ROLLOUTS_INTERVAL).await;
--- a/crates/broker/src/routes/route_metrics.rs
+++ b/crates/broker/src/routes/route_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of the serving of routes, in bounded memory.
+//! Metrics of route serving, in bounded memory, and their HTTP endpoint.
 
 use gingerkeel_domain::forwarding::{LoadReport, USUAL_PACE};
 use std::time::Duration;
@@ -21,40 +21,40 @@
 use super::tenant_metrics::TenantMetrics;
 use super::trail::AttemptReason;
 
-/// Path of the metrics.
+/// Path of the metrics endpoint.
 const PATH: &str = "/metrics";
-/// Type of the text format.
+/// Content type of the OpenMetrics text format.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// Upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.004;
-/// Latency buckets; each is twice as wide as the one before, up to 16 seconds.
+/// Number of latency buckets; the bounds double, up to 16 seconds.
 const BUCKETS: u16 = 13;
 
-/// An outcome of requests, or of attempts at leaves.
+/// Labels by outcome of requests, or of attempts at leaves.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabels {
     outcome: &'static str,
 }
 
-/// Why leaves were asked.
+/// Labels by reason of attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabels {
     reason: &'static str,
 }
 
-/// What leaves say of their load.
+/// Labels by load that leaves reported.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct LoadLabels {
     load: &'static str,
 }
 
-/// A route of the configuration.
+/// Labels by route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RouteLabels {
     route: String,
 }
 
-/// Metrics of the serving of routes.
+/// Metrics of route serving.
 pub struct RouteMetrics {
     registry: Registry,
     requests: Family<OutcomeLabels, Counter>,
@@ -156,41 +156,41 @@
         self.tenants.register(registry);
     }
 
-    /// A request has ended.
+    /// Counts a request that has ended, with the time it was held and its missing parts.
     pub fn request_ended(&self, outcome: &'static str, held: Duration, missing: usize) {
         self.requests.get_or_create(&OutcomeLabels { outcome }).inc();
         self.seconds.observe(held.as_secs_f64());
         self.missing_parts.inc_by(missing as u64);
     }
 
-    /// So many slow leaves were reported.
+    /// Counts slow leaves that were reported to control.
     pub fn slow_leaves_reported(&self, leaves: usize) {
         self.slow_leaves.inc_by(leaves as u64);
     }
 
-    /// So many warnings of leaves came.
+    /// Counts leaf warnings that were received from control.
     pub fn leaf_warnings_received(&self, warnings: usize) {
         self.leaf_warnings.inc_by(warnings as u64);
     }
 
-    /// A leaf ended while a request of this route was under way at it.
+    /// Counts a leaf that ended while it had a request of this route in flight.
     pub fn leaf_ended(&self, route: &str) {
         let labels = RouteLabels { route: route.to_owned() };
         self.leaves_ended_under_requests.get_or_create(&labels).inc();
     }
 
-    /// A request was refused because leaves had ended under its like.
+    /// Counts a request that was refused because leaves had ended under requests like it.
     pub fn kept_from_leaves(&self, route: &str) {
         let labels = RouteLabels { route: route.to_owned() };
         self.requests_kept_from_leaves.get_or_create(&labels).inc();
     }
 
-    /// A request goes to a leaf whose version is on trial.
+    /// Counts a request sent to a leaf whose version is on trial.
     pub fn sent_on_trial(&self) {
         self.trial_requests.inc();
     }
 
-    /// A leaf said how loaded it is.
+    /// Counts a load report of a leaf.
     pub fn load_reported(&self, report: LoadReport) {
         let load = match report {
             LoadReport { waiting: 1.., .. } => "queued",
@@ -200,18 +200,18 @@
         self.load_reports.get_or_create(&LoadLabels { load }).inc();
     }
 
-    /// A leaf is asked.
+    /// Counts the start of an attempt.
     pub fn attempt_started(&self, reason: AttemptReason) {
         let reason = reason.as_str();
         self.leaf_requests.get_or_create(&ReasonLabels { reason }).inc();
     }
 
-    /// The budget of a service had no room for a hedge or a retry.
+    /// Counts a hedge or retry that the budget of its service did not allow.
     pub fn extra_refused(&self) {
         self.extra_refused.inc();
     }
 
-    /// An attempt at a leaf has ended so.
+    /// Counts the outcome of an attempt.
     pub fn attempt_ended(&self, outcome: &'static str) {
         self.leaf_attempts.get_or_create(&OutcomeLabels { outcome }).inc();
     }
@@ -233,7 +233,7 @@
     }
 }
 
-/// Serves the metrics for ever.
+/// Serves the metrics; never returns.
 pub async fn serve(listener: TcpListener, state: Rc<RouteState>) {
     loop {
         match listener.accept().await {
--- a/crates/broker/src/routes/tenant_metrics/tests.rs
+++ b/crates/broker/src/routes/tenant_metrics/tests.rs
@@ -1,4 +1,4 @@
-//! Metrics of thousands of tenants.
+//! The number of time series stays bounded with thousands of tenants.
 
 use gingerkeel_domain::identifiers::TenantName;
 use prometheus_client::encoding::text::encode;
