--- a/crates/broker/src/routes/trail.rs
+++ b/crates/broker/src/routes/trail.rs
@@ -144,12 +144,12 @@
         }
     }
 
-    /// Of a request to many shards, `present` of `whole` parts came within the target latency.
+    /// Records that `present` of `whole` parts arrived within the target latency.
     pub fn gathered(&self, present: usize, whole: usize) {
         self.parts_in_time.set(Some((present, whole)));
     }
 
-    /// What [`Self::gathered`] was told; none before.
+    /// The counts recorded by [`Self::gathered`], if any.
     pub fn parts_in_time(&self) -> Option<(usize, usize)> {
         self.parts_in_time.get()
     }
