--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one leaf, and its reply.
+//! A single attempt: sends a request to one leaf and reads its reply.
 
 use std::cell::{Cell, OnceCell};
 use std::io::ErrorKind;
@@ -25,57 +25,57 @@
 use super::state::RouteState;
 use super::trail::Trail;
 
-/// Bytes of a leaf's head.
+/// Maximum size of a reply head, in bytes.
 const HEAD_LIMIT: usize = 32 * 1024;
-/// Bytes of a reply that are held before they are handed on; a longer reply is streamed.
-const HELD_BYTES: usize = 64 * 1024;
-/// Bytes that a usual head of a caller needs as leaves get it.
+/// Size up to which a reply body is buffered, in bytes; a longer one is streamed.
+const BUFFERED_REPLY_BYTES: usize = 64 * 1024;
+/// Initial capacity for a forwarded head, in bytes.
 const FORWARDED_HEAD_BYTES: usize = 256;
-/// Bytes that the fields need which differ from leaf to leaf, with the end of the head.
+/// Extra capacity for the fields that differ per leaf and for the end of the head, in bytes.
 const OWN_FIELD_BYTES: usize = 128;
-/// Replies to other requests that are passed over on one connection.
-const STRAY_REPLIES: usize = 2;
+/// Maximum number of late replies to other requests that are skipped on a connection.
+const MAX_STALE_REPLIES: usize = 2;
 
-/// A caller's request as it goes to leaves.
+/// A caller's request as it is forwarded to leaves.
 pub struct ForwardedRequest {
-    /// Its head.
+    /// HTTP head.
     pub head: RequestHead,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// The tenant that sent it, where that is known.
+    /// The tenant that sent the request, if known.
     pub tenant: Option<Arc<Tenant>>,
-    /// The head as leaves get it, but for what differs from one to another and its end; empty until it is
-    /// known who calls.
+    /// The head as forwarded, without the fields that differ per leaf and without its end; empty
+    /// until the caller is authenticated.
     pub forwarded_head: Vec<u8>,
-    /// Its id, as the caller sent it.
+    /// Request id, as the caller sent it.
     pub id: Vec<u8>,
-    /// When it was received.
+    /// When the request was received.
     pub received: Instant,
-    /// When it has to be answered.
+    /// When the request has to be answered.
     pub deadline: Instant,
-    /// What was decided about it.
+    /// Attempts and decisions so far.
     pub trail: Trail,
-    /// What all attempts tell of whether it has run.
+    /// Evidence of all attempts on whether the request has run.
     pub evidence: Cell<ExecutionEvidence>,
-    /// What is the same in all its tries, once somebody has asked.
+    /// Cache of [`Self::digest()`].
     pub digest: OnceCell<RequestDigest>,
 }
 
 impl ForwardedRequest {
-    fn note(&self, change: impl FnOnce(&mut ExecutionEvidence)) {
+    fn update_evidence(&self, change: impl FnOnce(&mut ExecutionEvidence)) {
         let mut evidence = self.evidence.get();
         change(&mut evidence);
         self.evidence.set(evidence);
     }
 
-    /// What is the same in all its tries.
+    /// Digest that is equal in all retries of the request.
     pub fn digest(&self) -> RequestDigest {
         let host = self.head.headers.text("host").unwrap_or_default();
         let (method, target) = (&self.head.method, &self.head.target);
         *self.digest.get_or_init(|| request_digest(method, host, target, &self.body))
     }
 
-    /// It is known who sent it, and with it what leaves get.
+    /// Sets the authenticated caller and encodes the head to forward.
     pub fn identify(&mut self, dialect: &Dialect, caller: &CallerIdentity) {
         self.tenant = caller.tenant().cloned();
         self.forwarded_head = forwarded_head(dialect, &self.head, &self.body, caller);
@@ -90,9 +90,9 @@
 
 /// A leaf's reply.
 pub struct LeafReply {
-    /// Which leaf.
+    /// The leaf that replied.
     pub leaf: LeafIdentity,
-    /// Its head.
+    /// Head of the reply.
     pub head: ResponseHead,
     /// Whether the request asked for the head alone.
     pub head_only: bool,
@@ -100,56 +100,60 @@
     pub framing: BodyFraming,
     /// The body, or its first part.
     pub body: Bytes,
-    /// The rest of the body; none when it is whole.
+    /// Stream of the rest of the body; none if `body` is complete.
     pub rest: Option<ReplyStream>,
 }
 
 impl ReplyStream {
-    /// The next piece; none once the body is whole.
+    /// The next piece; none at the end of the body.
     ///
     /// # Errors
-    /// A [`ReadError`] when the reply is cut short.
+    /// A [`ReadError`] if the reply is cut short.
     pub async fn next(&mut self) -> Result<Option<Bytes>, ReadError> {
         self.connection.reader.body_piece(&mut self.decoder).await
     }
 }
 
-/// Counts an attempt as ended, however it ends.
-struct Watch<'state> {
+/// Records the end of an attempt when dropped, however it ends.
+struct AttemptGuard<'state> {
     state: &'state RouteState,
     service: &'state ServiceName,
     leaf: &'state LeafIdentity,
     started: Instant,
-    /// Whether a connection is counted that is to be given back or closed.
+    /// Whether a connection is reserved that has to be returned or closed.
     holds_connection: bool,
     /// Whether the connection is new.
     is_new: bool,
     outcome: Option<Outcome>,
 }
 
-impl Watch<'_> {
-    /// What a connection says of the leaf that was reset: where it is new and others are open, the
-    /// leaf has as many as it accepts, and is as sound as before.
-    fn reset(&mut self) -> Outcome {
-        match self.is_new && self.state.leaves.connection_refused(self.leaf) {
+impl AttemptGuard<'_> {
+    /// Outcome of a connection reset. If the connection is new and others are open, the leaf is at
+    /// its connection limit, which is no failure.
+    fn reset_outcome(&mut self) -> Outcome {
+        match self.is_new && self.state.leaves.connection_reset(self.leaf) {
             true => Outcome::Rejected,
             false => Outcome::Failed,
         }
     }
 }
 
-impl Drop for Watch<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         let given_up = || Outcome::Abandoned(self.started.elapsed());
-        self.state.leaves.finish(self.service, self.leaf, self.outcome.unwrap_or_else(given_up));
+        self.state.leaves.attempt_finished(
+            self.service,
+            self.leaf,
+            self.outcome.unwrap_or_else(given_up),
+        );
         if self.holds_connection {
             self.state.leaves.connection_closed(self.leaf);
         }
     }
 }
 
-/// Sends a request to a leaf and reads its reply. Dropping the future closes the connection, by
-/// which the leaf drops the request.
+/// Sends a request to a leaf and reads its reply. Dropping the future closes the connection, which
+/// cancels the request at the leaf.
 ///
 /// # Errors
 /// An [`AttemptError`] that tells whether the request may have run.
@@ -161,8 +165,8 @@
     request: &ForwardedRequest,
 ) -> Result<LeafReply, AttemptError> {
     let started = Instant::now();
-    state.leaves.begin(service, &leaf.identity);
-    let mut watch = Watch {
+    state.leaves.attempt_started(service, &leaf.identity);
+    let mut guard = AttemptGuard {
         state,
         service,
         leaf: &leaf.identity,
@@ -171,77 +175,82 @@
         is_new: false,
         outcome: None,
     };
-    let connection = connect(&mut watch, leaf).await?;
-    request.note(ExecutionEvidence::sent);
-    let outcome = exchange(&mut watch, connection, leaf, request).await;
+    let connection = connect(&mut guard, leaf).await?;
+    request.update_evidence(ExecutionEvidence::sent);
+    let outcome = exchange(&mut guard, connection, leaf, request).await;
     let status = outcome.as_ref().map(|reply| reply.head.status).map_err(|error| *error);
-    request.note(|evidence| evidence.heard(status));
-    watch.outcome = Some(match &outcome {
-        Ok(_) => Outcome::Answered(watch.started.elapsed()),
+    request.update_evidence(|evidence| evidence.heard(status));
+    guard.outcome = Some(match &outcome {
+        Ok(_) => Outcome::Answered(guard.started.elapsed()),
         Err(AttemptError::Rejected) => Outcome::Rejected,
         Err(AttemptError::AnotherLeaf) => Outcome::AddressTaken,
-        Err(AttemptError::Lost) => watch.reset(),
+        Err(AttemptError::Lost) => guard.reset_outcome(),
         Err(_) => Outcome::Failed,
     });
-    if watch.is_new && matches!(outcome, Ok(_) | Err(AttemptError::Rejected)) {
+    if guard.is_new && matches!(outcome, Ok(_) | Err(AttemptError::Rejected)) {
         state.leaves.connection_accepted(&leaf.identity);
     }
     if outcome.is_ok() {
-        state.record_latency(route, watch.started.elapsed());
+        state.record_latency(route, guard.started.elapsed());
     }
     outcome
 }
 
-async fn connect(watch: &mut Watch<'_>, leaf: &ListedLeaf) -> Result<LeafConnection, AttemptError> {
-    if let Some(connection) = watch.state.leaves.take_idle(watch.leaf) {
-        watch.holds_connection = true;
+async fn connect(
+    guard: &mut AttemptGuard<'_>,
+    leaf: &ListedLeaf,
+) -> Result<LeafConnection, AttemptError> {
+    if let Some(connection) = guard.state.leaves.take_idle(guard.leaf) {
+        guard.holds_connection = true;
         return Ok(connection);
     }
-    let limits = watch.state.service_limits(watch.service);
-    if !watch.state.leaves.admit_connection(limits.connections, leaf) {
+    let limits = guard.state.service_limits(guard.service);
+    if !guard.state.leaves.reserve_connection(limits.connections, leaf) {
         return Err(AttemptError::NoConnection);
     }
-    watch.holds_connection = true;
-    watch.is_new = true;
+    guard.holds_connection = true;
+    guard.is_new = true;
     let began = Instant::now();
     let connected = LeafConnection::connect(leaf.address).await;
     if connected.is_ok() {
-        watch.state.leaves.opened(leaf, began.elapsed());
+        guard.state.leaves.connection_opened(leaf, began.elapsed());
     }
     connected.map_err(|error| {
         let (outcome, error) = match error.kind() {
             ErrorKind::ConnectionReset => {
-                watch.state.leaves.took_connection(leaf);
-                (watch.reset(), AttemptError::NotAccepted)
+                guard.state.leaves.connect_succeeded(leaf);
+                (guard.reset_outcome(), AttemptError::NotAccepted)
             }
             ErrorKind::ConnectionRefused => {
-                watch.state.crashes.leaf_is_gone(&watch.state.metrics, &leaf.identity);
+                guard.state.crashes.leaf_is_gone(&guard.state.metrics, &leaf.identity);
                 (Outcome::ConnectionRefused, AttemptError::ConnectionRefused)
             }
             _ => (Outcome::Failed, AttemptError::NotConnected),
         };
-        watch.outcome = Some(outcome);
+        guard.outcome = Some(outcome);
         error
     })
 }
 
 async fn exchange(
-    watch: &mut Watch<'_>,
+    guard: &mut AttemptGuard<'_>,
     mut connection: LeafConnection,
     leaf: &ListedLeaf,
     request: &ForwardedRequest,
 ) -> Result<LeafReply, AttemptError> {
-    let state = watch.state;
-    let bytes = compose(&state.dialect, leaf, request);
+    let state = guard.state;
+    let bytes = encode_request(&state.dialect, leaf, request);
     let method = request.head.method.as_str();
     let id_name = state.dialect.request_id;
     let reading =
         async |reader: &mut HttpReader| read_head(reader, method, id_name, &request.id).await;
     let (head, whole) =
         connection.exchange(bytes, reading).await.map_err(|_| AttemptError::Lost)?;
-    if let Some(report) = head.headers.text(state.dialect.load).and_then(state.dialect.read_load) {
+    if let Some(report) =
+        head.headers.text(state.dialect.load).and_then(state.dialect.parse_load_report)
+    {
         state.metrics.load_reported(report);
-        state.leaves.reported(watch.service, watch.leaf, report);
+        state.leaves.load_reported(guard.service, guard.leaf, report);
     }
     let framing = response_framing(method, &head).map_err(|_| AttemptError::Unusable)?;
     let mut decoder = BodyDecoder::new(framing);
@@ -260,14 +269,15 @@
         return Ok(LeafReply { leaf, head, head_only, framing, body, rest: Some(rest) });
     }
     if reusable && !another_leaf {
-        let stated = stated_keep(&head);
-        state.leaves.note_stated_keep(watch.service, stated);
-        connection.keep_for(stated);
-        state.leaves.give_back(watch.leaf, connection);
-        watch.holds_connection = false;
+        let stated = keep_alive_timeout(&head);
+        state.leaves.record_keep_alive_timeout(guard.service, stated);
+        connection.set_keep_alive(stated);
+        state.leaves.return_connection(guard.leaf, connection);
+        guard.holds_connection = false;
     }
     if another_leaf {
-        // Nothing else is asked of whoever it is under the name of this leaf.
+        // The address belongs to another leaf now: the connection is not reused under this one's
+        // name.
         return Err(AttemptError::AnotherLeaf);
     }
     if rejected {
@@ -277,21 +287,20 @@
     Ok(LeafReply { leaf, head, head_only, framing, body, rest: None })
 }
 
-/// Reads the head of the reply to this very request. A late reply to another one may come first;
-/// it is passed over.
+/// Reads the head of the reply to the request `id`. Late replies to earlier requests are skipped.
 async fn read_head(
     reader: &mut HttpReader,
     method: &str,
     id_name: &str,
     id: &[u8],
 ) -> Result<ResponseHead, ReadError> {
-    for _ in 0..=STRAY_REPLIES {
+    for _ in 0..=MAX_STALE_REPLIES {
         let head = reader.response_head(HEAD_LIMIT).await?;
         if (100..=199).contains(&head.status) {
             continue;
         }
         let repeated = head.headers.get(id_name);
-        // A refusal may name no request; an answer that is used names this one.
+        // Error replies may lack the request id; a success reply must repeat it.
         let nameless = repeated.is_none() && (id.is_empty() || head.status >= 400);
         if nameless || repeated == Some(id) {
             return Ok(head);
@@ -308,7 +317,7 @@
     decoder: &mut BodyDecoder,
 ) -> Result<Bytes, AttemptError> {
     let mut body = BytesMut::new();
-    while body.len() < HELD_BYTES {
+    while body.len() < BUFFERED_REPLY_BYTES {
         match reader.body_piece(decoder).await {
             Ok(Some(piece)) if body.is_empty() && decoder.is_done() => return Ok(piece),
             Ok(Some(piece)) => body.extend_from_slice(&piece),
@@ -326,14 +335,15 @@
     Ok(body.freeze())
 }
 
-/// How long the leaf says that it keeps an idle connection.
-fn stated_keep(head: &ResponseHead) -> Option<Duration> {
+/// The keep-alive timeout that the leaf stated, if any.
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
     let text = head.headers.text("keep-alive")?;
     let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// What is the same in the requests to all leaves: the start line, the caller's own fields and who calls.
+/// The part of the head that is equal for all leaves: request line, the caller's fields and the
+/// tenant.
 fn forwarded_head(
     dialect: &Dialect,
     head: &RequestHead,
@@ -361,7 +371,7 @@
     bytes
 }
 
-fn compose(dialect: &Dialect, leaf: &ListedLeaf, request: &ForwardedRequest) -> Vec<u8> {
+fn encode_request(dialect: &Dialect, leaf: &ListedLeaf, request: &ForwardedRequest) -> Vec<u8> {
     let length = request.forwarded_head.len() + OWN_FIELD_BYTES + request.body.len();
     let mut bytes = Vec::with_capacity(length);
     bytes.extend_from_slice(&request.forwarded_head);
@@ -375,13 +385,14 @@
     bytes
 }
 
-/// Whether the broker sets the field itself.
+/// Whether the broker replaces the field.
 fn is_replaced(dialect: &Dialect, name: &[u8]) -> bool {
     let own = [dialect.deadline, dialect.expected_leaf, "content-length", "expect"];
     own.iter().any(|field| name.eq_ignore_ascii_case(field.as_bytes()))
 }
 
-/// Whether a field of the caller's says who calls, which leaves learn from the broker alone.
+/// Whether a field of the caller states an identity, which the broker replaces after
+/// authentication.
 fn is_identity(dialect: &Dialect, caller: &CallerIdentity, name: &[u8]) -> bool {
     let own = [dialect.tenant, AUTHORIZATION];
     caller.is_checked() && own.iter().any(|field| name.eq_ignore_ascii_case(field.as_bytes()))
--- a/crates/broker/src/routes/leaf_checks.rs
+++ b/crates/broker/src/routes/leaf_checks.rs
@@ -1,8 +1,8 @@
-//! Connections without a request, by which a broker learns whether a leaf is there that has missed, or at which a request
-//! was given up that no leaf has answered.
+//! Liveness probes: connections without a request to leaves that failed, or at which an unanswered
+//! request was abandoned.
 //!
-//! Without them a request of a caller would find out, and might arrive at another leaf that has the address of an
-//! ended one.
+//! Without probes a caller's request would have to find out, and might arrive at another leaf that
+//! has taken over the address of an ended one.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -14,75 +14,76 @@
 use super::pool::LeafConnection;
 use super::state::RouteState;
 
-/// Time between two looks at which leaves have missed.
-const ROUND: Duration = Duration::from_millis(200);
-/// Time that a leaf has to take the connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Time between two rounds of probes.
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time that a leaf which lost a connection has to take another one or refuse it, before its requests go on
-/// elsewhere: several times the way to another region and back.
-const FATE_LIMIT: Duration = Duration::from_millis(200);
+/// Timeout of probing a leaf that lost a connection, before its requests are retried elsewhere:
+/// several round trips to another region.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Checks leaves that have missed or may have ended, for ever.
+/// Probes leaves that failed or may have ended; never returns.
 pub async fn run(state: Rc<RouteState>) {
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         if state.is_stopping() {
             continue;
         }
         let given_up = state.crashes.take_unchecked();
         let given_up = given_up.iter().filter_map(|identity| state.leaves.leaf(identity));
-        for leaf in state.leaves.look_after_missing().into_iter().chain(given_up) {
+        for leaf in state.leaves.leaves_to_probe().into_iter().chain(given_up) {
             let state = state.clone();
-            monoio::spawn(async move { check(&state, leaf).await });
+            monoio::spawn(async move { probe(&state, leaf).await });
         }
     }
 }
 
-/// What became of a leaf that lost a connection.
+/// Result of probing a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeafFate {
-    /// It takes another connection, or has as many as it accepts.
-    There,
-    /// Nobody listens at its address.
+pub enum Liveness {
+    /// It accepts connections, or is at its connection limit.
+    Alive,
+    /// Nothing listens at its address.
     Ended,
-    /// Nothing was heard in time.
+    /// The probe timed out or failed otherwise.
     Unknown,
 }
 
-impl LeafFate {
-    /// Whether the leaf counts as ended: in doubt where the request that was under way is `suspected` already.
+impl Liveness {
+    /// Whether the leaf counts as ended. An unknown result counts as ended only if the request that
+    /// was in flight is already `suspected` of crashing leaves.
     pub fn has_ended(self, suspected: bool) -> bool {
         self == Self::Ended || suspected && self == Self::Unknown
     }
 }
 
-/// Finds out what became of a leaf that lost a connection.
-pub async fn fate_of(state: &RouteState, leaf: &ListedLeaf) -> LeafFate {
-    match timeout(FATE_LIMIT, check(state, leaf.clone())).await {
-        Ok(fate) => fate,
-        Err(_) => LeafFate::Unknown,
+/// Probes a leaf that lost a connection, within a short timeout.
+pub async fn probe_liveness(state: &RouteState, leaf: &ListedLeaf) -> Liveness {
+    match timeout(LIVENESS_TIMEOUT, probe(state, leaf.clone())).await {
+        Ok(liveness) => liveness,
+        Err(_) => Liveness::Unknown,
     }
 }
 
-/// Opens a connection and closes it.
-async fn check(state: &RouteState, leaf: ListedLeaf) -> LeafFate {
-    match timeout(CONNECT_LIMIT, LeafConnection::connect(leaf.address)).await {
+/// Opens a connection and closes it at once.
+async fn probe(state: &RouteState, leaf: ListedLeaf) -> Liveness {
+    match timeout(CONNECT_TIMEOUT, LeafConnection::connect(leaf.address)).await {
         Ok(Ok(_)) => {
-            state.leaves.took_connection(&leaf);
-            LeafFate::There
+            state.leaves.connect_succeeded(&leaf);
+            Liveness::Alive
         }
-        // It has as many as it accepts.
+        // The leaf is at its connection limit.
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => {
-            state.leaves.took_connection(&leaf);
-            LeafFate::There
+            state.leaves.connect_succeeded(&leaf);
+            Liveness::Alive
         }
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            state.leaves.refused_connection(&leaf);
+            state.leaves.connect_refused(&leaf);
             state.crashes.leaf_is_gone(&state.metrics, &leaf.identity);
-            LeafFate::Ended
+            Liveness::Ended
         }
-        // Silence is no sign of anything.
-        Ok(Err(_)) | Err(_) => LeafFate::Unknown,
+        // A timeout does not tell an ended leaf from a slow network.
+        Ok(Err(_)) | Err(_) => Liveness::Unknown,
     }
 }
--- a/crates/broker/src/routes/leaf_registry.rs
+++ b/crates/broker/src/routes/leaf_registry.rs
@@ -1,7 +1,7 @@
-//! The leaves that a broker knows: the list in force, what was observed of each, the budget of extra
-//! requests of each service, and the connections.
+//! The leaves that a broker knows: the directory in force, observations of each leaf, the budget of
+//! extra requests of each service, and the connection pools.
 //!
-//! The state is borrowed between two waits only, never across one.
+//! No borrow of the state is held across an `await`.
 
 mod choice;
 
@@ -27,13 +27,13 @@
 use rand_pcg::Pcg64;
 use tracing::{info, warn};
 
-use super::cold_shares::ColdShares;
-use super::connection_book::ConnectionBook;
+use super::cold_shares::ColdShareCache;
+use super::connection_book::ConnectionPlanner;
 use super::extra_load::ExtraLoadTotals;
 use super::known_leaves::{Leaves, ServiceLimits};
 use super::pool::{LeafConnection, LeafPool};
 
-pub use choice::Asker;
+pub use choice::RequestContext;
 
 /// The leaves that a broker knows.
 pub struct LeafRegistry {
@@ -45,20 +45,20 @@
     extra: ExtraLoadSettings,
     replica_settings: ReplicaSettings,
     leaves: RefCell<Leaves>,
-    /// Zones whose leaves get no new work.
+    /// Evacuated zones, whose leaves get no new work.
     evacuated: RefCell<BTreeSet<ZoneName>>,
-    connections: ConnectionBook,
-    /// The brokers that share what leaves bear, those included that may be cut off; none while they are
-    /// not known.
-    sharing: RefCell<Vec<KnownBroker>>,
-    cold_shares: ColdShares,
-    /// What is to be reported of leaves.
+    connections: ConnectionPlanner,
+    /// The brokers that share the capacity of the leaves, including those that may be partitioned
+    /// off; empty until they are known.
+    sharing_brokers: RefCell<Vec<KnownBroker>>,
+    cold_shares: ColdShareCache,
+    /// Observations of slow and failing leaves for the next report.
     observations: RefCell<ObservationLog>,
     random: RefCell<Pcg64>,
 }
 
 impl LeafRegistry {
-    /// No leaf is known yet.
+    /// Creates a registry without leaves.
     pub fn new(clock: Clock, broker: &BrokerSettings, settings: &RouteSettings, seed: u64) -> Self {
         let extra = ExtraLoadSettings {
             ratio: settings.extra_ratio,
@@ -69,7 +69,7 @@
         let zone_regions = settings.zone_regions.clone();
         Self {
             clock,
-            connections: ConnectionBook::new(name.clone(), zone.clone(), zone_regions.clone()),
+            connections: ConnectionPlanner::new(name.clone(), zone.clone(), zone_regions.clone()),
             zone,
             zone_regions: zone_regions.clone(),
             extra,
@@ -80,54 +80,54 @@
             },
             leaves: RefCell::default(),
             evacuated: RefCell::default(),
-            sharing: RefCell::default(),
-            cold_shares: ColdShares::new(name, zone_regions),
+            sharing_brokers: RefCell::default(),
+            cold_shares: ColdShareCache::new(name, zone_regions),
             observations: RefCell::default(),
             random: RefCell::new(Pcg64::seed_from_u64(seed)),
         }
     }
 
-    /// Version of the list of leaves in force; 0 for none.
+    /// Version of the directory in force; 0 for none.
     pub fn version(&self) -> u64 {
         self.leaves.borrow().directory.version().0
     }
 
-    /// Whether a list of leaves is in force.
+    /// Whether a directory is in force.
     pub fn is_listed(&self) -> bool {
         self.version() > 0
     }
 
-    /// Takes a whole list of leaves over, unless it is older than the one in force.
+    /// Replaces the directory, unless the new one is older than the one in force.
     pub fn replace_directory(&self, directory: LeafDirectory) {
         let mut leaves = self.leaves.borrow_mut();
         if directory.version() >= leaves.directory.version() {
             leaves.directory = directory;
             let all: Vec<ListedLeaf> = leaves.directory.leaves().values().cloned().collect();
-            self.list(&mut leaves, &all);
+            self.apply_listing(&mut leaves, &all);
         }
     }
 
-    /// Takes a change of the list over.
+    /// Applies a change to the directory; logs a gap if changes before it are missing.
     pub fn change_directory(&self, delta: &DirectoryDelta) {
         let mut leaves = self.leaves.borrow_mut();
         if leaves.directory.apply(delta) {
-            self.list(&mut leaves, &delta.changed);
+            self.apply_listing(&mut leaves, &delta.changed);
         } else if delta.base > leaves.directory.version() {
             let held = leaves.directory.version().0;
             warn!(event = "directory_gap", held, base = delta.base.0);
         }
     }
 
-    /// The brokers that share the leaves.
+    /// Replaces the set of brokers that share the leaves.
     pub fn set_brokers(&self, brokers: Vec<KnownBroker>) {
         self.connections.set_brokers(&brokers);
-        self.forget_cold_shares();
-        *self.sharing.borrow_mut() = brokers;
+        self.invalidate_cold_shares();
+        *self.sharing_brokers.borrow_mut() = brokers;
     }
 
-    /// Leaves of these zones get no new work; those of all other zones do. `cold_start` tells how the
-    /// leaves of a service start.
-    pub fn evacuate(
+    /// Sets the zones whose leaves get no new work. `cold_start` returns the cold start of a
+    /// service, which applies to leaves of restored zones.
+    pub fn set_evacuated_zones(
         &self,
         zones: BTreeSet<ZoneName>,
         cold_start: impl Fn(&ServiceName) -> ColdStart,
@@ -137,15 +137,15 @@
         if before == *evacuated {
             return;
         }
-        self.connections.forget_plans();
-        self.chill_restored(before.difference(&evacuated), cold_start);
+        self.connections.invalidate_plans();
+        self.mark_restored_cold(before.difference(&evacuated), cold_start);
         let named: Vec<&str> = evacuated.iter().map(ZoneName::as_str).collect();
         info!(event = "zones_evacuated", count = named.len(), zones = named.join(","));
     }
 
-    /// Leaves of zones that are restored may have turned cold, and the list lags: they count as cold
-    /// for as long as a leaf does after its start.
-    fn chill_restored<'zones>(
+    /// Marks leaves of restored zones as cold for as long as after a start: they may have lost
+    /// their caches, and the directory lags.
+    fn mark_restored_cold<'zones>(
         &self,
         zones: impl Iterator<Item = &'zones ZoneName>,
         cold_start: impl Fn(&ServiceName) -> ColdStart,
@@ -159,25 +159,26 @@
         }
     }
 
-    /// Connections are kept ready to other leaves from now on.
-    pub fn forget_plans(&self) {
-        self.connections.forget_plans();
+    /// Invalidates the plans of standby connections.
+    pub fn invalidate_plans(&self) {
+        self.connections.invalidate_plans();
     }
 
-    /// How many zones are evacuated.
+    /// Number of evacuated zones.
     pub fn evacuated_zones(&self) -> usize {
         self.evacuated.borrow().len()
     }
 
-    /// Takes over what the list in force says of the leaves that are new or changed.
-    fn list(&self, leaves: &mut Leaves, changed: &[ListedLeaf]) {
+    /// Updates the state of leaves that are new or changed in the directory, and drops removed
+    /// ones.
+    fn apply_listing(&self, leaves: &mut Leaves, changed: &[ListedLeaf]) {
         let now = self.clock.now();
-        self.forget_cold_shares();
+        self.invalidate_cold_shares();
         let share = self.extra_share();
         let Leaves { directory, services, pools, cold, misdirected } = leaves;
         cold.forget_warm(now);
         for leaf in changed {
-            self.connections.forget_plan(&leaf.service);
+            self.connections.invalidate_plan(&leaf.service);
             if leaf.cold_ms > 0 {
                 cold.mark_cold(&leaf.identity, now.after(Duration::from_millis(leaf.cold_ms)));
             }
@@ -193,7 +194,7 @@
             let listed = |identity: &LeafIdentity| directory.leaves().contains_key(identity);
             if !service.replicas.identities().all(listed) {
                 service.replicas.retain(listed);
-                self.connections.forget_plan(name);
+                self.connections.invalidate_plan(name);
             }
         }
         pools.retain(|identity, _| directory.leaves().contains_key(identity));
@@ -201,17 +202,17 @@
         info!(event = "directory_in_force", version, leaves = directory.leaves().len());
     }
 
-    /// How far away a leaf is.
+    /// Distance from this broker to a leaf.
     pub fn distance(&self, leaf: &ListedLeaf) -> Distance {
         Distance::between(&self.zone, &leaf.zone, &self.zone_regions)
     }
 
-    /// The region in which a leaf runs, where the settings name it.
+    /// The region of a leaf, if the settings name it.
     fn region(&self, leaf: &ListedLeaf) -> Option<&str> {
         self.zone_regions.get(leaf.zone.as_str()).map(String::as_str)
     }
 
-    /// How long the process has run: its clock starts with it.
+    /// Age of the process: the clock starts with it.
     fn age(&self) -> Duration {
         self.clock.now().since(Timestamp::ZERO)
     }
@@ -220,8 +221,8 @@
         self.random.borrow_mut().random()
     }
 
-    /// Whether a leaf is warm, or this broker may send it a request while it is cold.
-    fn has_room_while_cold(
+    /// Whether a leaf is warm, or this broker's share of its cold rate has room.
+    fn is_within_cold_rate(
         &self,
         leaves: &Leaves,
         limits: ServiceLimits,
@@ -233,19 +234,19 @@
             || leaves.cold.has_room(now, &leaf.identity, self.cold_share(limits, leaf))
     }
 
-    /// Services may state other rates for cold leaves.
-    pub fn forget_cold_shares(&self) {
-        self.cold_shares.forget();
+    /// Invalidates the shares of cold leaves, after services may have changed their rates.
+    pub fn invalidate_cold_shares(&self) {
+        self.cold_shares.invalidate();
     }
 
-    /// What this broker may send to a cold leaf.
+    /// This broker's share of the rate of a cold leaf.
     fn cold_share(&self, limits: ServiceLimits, leaf: &ListedLeaf) -> ColdShare {
-        let brokers = self.sharing.borrow();
+        let brokers = self.sharing_brokers.borrow();
         self.cold_shares.of(limits.cold_start, leaf, self.age(), &brokers)
     }
 
-    /// A request is about to be sent to a leaf.
-    pub fn sent(&self, leaf: &ListedLeaf, limits: ServiceLimits) {
+    /// Counts a request that is about to be sent against the cold rate of its leaf.
+    pub fn request_sent(&self, leaf: &ListedLeaf, limits: ServiceLimits) {
         let now = self.clock.now();
         let limited = limits.cold_start.is_limited();
         if limited && self.leaves.borrow().cold.is_cold(now, &leaf.identity) {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// How many leaves are cold.
+    /// Number of cold leaves.
     pub fn cold_leaves(&self) -> usize {
         self.leaves.borrow().cold.count(self.clock.now())
     }
@@ -272,20 +273,20 @@
         }
     }
 
-    /// A leaf as the directory lists it.
+    /// The directory entry of a leaf.
     pub fn leaf(&self, identity: &LeafIdentity) -> Option<ListedLeaf> {
         self.leaves.borrow().directory.leaves().get(identity).cloned()
     }
 
-    /// A request for a service begins: it may be sent to one leaf.
-    pub fn earn(&self, service: &ServiceName) {
+    /// Counts the first attempt of a request, which adds to the budget of extra requests.
+    pub fn count_first_request(&self, service: &ServiceName) {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
         let state = leaves.services.entry(service.clone()).or_default();
         state.extra.earn(&self.extra_share(), now);
     }
 
-    /// Takes one extra request out of the budget of a service; false when there is no room.
+    /// Takes one extra request out of the budget of a service; false if there is no room.
     pub fn take_extra(&self, service: &ServiceName) -> bool {
         let now = self.clock.now();
         let share = self.extra_share();
@@ -294,28 +295,29 @@
             return false;
         };
         let taken = state.extra.take(&share, now);
-        if !taken && let Some(totals) = state.extra.tell_spent(now, self.extra.window) {
-            self.log_spent(service, totals);
+        if !taken && let Some(totals) = state.extra.report_spent(now, self.extra.window) {
+            self.log_extra_load_spent(service, totals);
         }
         taken
     }
 
-    /// What this broker may send of the extra requests of any one service.
+    /// This broker's share of the extra requests of any one service.
     fn extra_share(&self) -> ExtraLoadShare {
-        ExtraLoadShare::of(&self.extra, self.sharing.borrow().len())
+        ExtraLoadShare::of(&self.extra, self.sharing_brokers.borrow().len())
     }
 
-    /// The totals of all brokers, and their difference from one line to the next, tell whose requests added up to
-    /// too many.
-    fn log_spent(&self, service: &ServiceName, totals: ExtraLoadTotals) {
+    /// Logs the totals of a service with a spent budget. Compared over brokers and lines, they show
+    /// which requests used it up.
+    fn log_extra_load_spent(&self, service: &ServiceName, totals: ExtraLoadTotals) {
         let ExtraLoadTotals { first, extra, refused } = totals;
-        let brokers = self.sharing.borrow().len();
+        let brokers = self.sharing_brokers.borrow().len();
         let age_ms = self.age().as_millis() as u64;
         info!(event = "extra_load_spent", %service, first, extra, refused, brokers, age_ms);
     }
 
-    /// In a request that began then, a leaf did so as measured by the other leaves of the request. That one of
-    /// another region is slow is not reported: distance may be the cause.
+    /// Records the conduct of a leaf in a request that began at `began`, relative to the other
+    /// leaves of the request. Slowness of a leaf in another region is left out: distance may be the
+    /// cause.
     pub fn observe(&self, leaf: &LeafIdentity, began: Timestamp, conduct: ObservedOutcome) {
         let leaves = self.leaves.borrow();
         let Some(listed) = leaves.directory.leaves().get(leaf) else {
@@ -327,13 +329,13 @@
         }
     }
 
-    /// The leaves that were slow or failed since this was asked last.
-    pub fn take_slow(&self) -> Vec<LeafObservation> {
+    /// Takes the observations since the last call.
+    pub fn take_observations(&self) -> Vec<LeafObservation> {
         self.observations.borrow_mut().take(self.clock.now())
     }
 
-    /// Many brokers find these leaves slow or failing.
-    pub fn warn(&self, warnings: &[LeafWarning]) {
+    /// Applies warnings of leaves that many brokers observe as slow or failing.
+    pub fn apply_warnings(&self, warnings: &[LeafWarning]) {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
         let Leaves { directory, services, .. } = &mut *leaves;
@@ -348,38 +350,38 @@
         info!(event = "leaves_avoided", count = named.len(), leaves = named.join(","));
     }
 
-    /// An attempt begins.
-    pub fn begin(&self, service: &ServiceName, leaf: &LeafIdentity) {
+    /// Counts an attempt as in flight.
+    pub fn attempt_started(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, _, _| replicas.begin(leaf));
     }
 
-    /// An attempt has waited longer than expected.
-    pub fn late(&self, service: &ServiceName, leaf: &LeafIdentity) {
+    /// Records that an attempt takes longer than expected.
+    pub fn attempt_late(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, now, settings| {
             replicas.mark_late(now, settings, leaf)
         });
     }
 
-    /// An attempt got no answer at all.
-    pub fn silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
+    /// Records that an abandoned attempt got no reply at all.
+    pub fn attempt_silent(&self, service: &ServiceName, leaf: &LeafIdentity) {
         self.with_replicas(service, |replicas, now, settings| {
             replicas.mark_silent(now, settings, leaf)
         });
     }
 
-    /// A leaf said on an answer how loaded it is.
-    pub fn reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
+    /// Records the load that a leaf reported with a reply.
+    pub fn load_reported(&self, service: &ServiceName, leaf: &LeafIdentity, report: LoadReport) {
         self.with_replicas(service, |replicas, now, _| replicas.record_load(now, leaf, report));
     }
 
-    /// The load that a leaf reported lately.
-    pub fn load(&self, service: &ServiceName, leaf: &LeafIdentity) -> Option<LoadReport> {
+    /// The load that a leaf reported recently, if any.
+    pub fn reported_load(&self, service: &ServiceName, leaf: &LeafIdentity) -> Option<LoadReport> {
         let leaves = self.leaves.borrow();
         leaves.services.get(service)?.replicas.load(self.clock.now(), leaf)
     }
 
-    /// An attempt has ended.
-    pub fn finish(&self, service: &ServiceName, leaf: &LeafIdentity, outcome: Outcome) {
+    /// Records the outcome of an attempt.
+    pub fn attempt_finished(&self, service: &ServiceName, leaf: &LeafIdentity, outcome: Outcome) {
         if outcome == Outcome::AddressTaken {
             let now = self.clock.now();
             let share = self.extra_share();
@@ -401,25 +403,29 @@
         }
     }
 
-    /// An idle connection to a leaf.
+    /// Takes an idle connection to a leaf, if there is one.
     pub fn take_idle(&self, leaf: &LeafIdentity) -> Option<LeafConnection> {
         self.leaves.borrow_mut().pools.get_mut(leaf)?.take_idle()
     }
 
-    /// Counts a connection that is about to be opened, unless this broker has its share of those
-    /// that the leaf accepts.
-    pub fn admit_connection(&self, accepted: usize, leaf: &ListedLeaf) -> bool {
+    /// Reserves a connection that is about to be opened; false if this broker has used up its share
+    /// of those that the leaf accepts.
+    pub fn reserve_connection(&self, accepted: usize, leaf: &ListedLeaf) -> bool {
         let limit = self.connections.share(accepted, &leaf.zone);
-        self.leaves.borrow_mut().pools.entry(leaf.identity.clone()).or_default().admit(limit)
+        self.leaves.borrow_mut().pools.entry(leaf.identity.clone()).or_default().reserve(limit)
     }
 
-    /// Which connections to leaves of a service are kept ready.
+    /// The plan of standby connections to leaves of a service.
     fn plan(&self, leaves: &Leaves, service: &ServiceName, accepted: usize) -> Rc<ConnectionPlan> {
-        self.connections.plan(service, accepted, || self.places(leaves, service))
+        self.connections.plan(service, accepted, || self.serving_leaves(leaves, service))
     }
 
     /// The leaves of a service that take new work, with their zones.
-    fn places(&self, leaves: &Leaves, service: &ServiceName) -> Vec<(LeafIdentity, ZoneName)> {
+    fn serving_leaves(
+        &self,
+        leaves: &Leaves,
+        service: &ServiceName,
+    ) -> Vec<(LeafIdentity, ZoneName)> {
         let evacuated = self.evacuated.borrow();
         let usable = |leaf: &&ListedLeaf| {
             leaf.availability == LeafAvailability::Ready && !evacuated.contains(&leaf.zone)
@@ -430,29 +436,28 @@
         listed.filter(usable).map(|leaf| (leaf.identity.clone(), leaf.zone.clone())).collect()
     }
 
-    /// A connection to a leaf was opened in this time.
-    pub fn opened(&self, leaf: &ListedLeaf, took: Duration) {
-        self.connections.opened(self.distance(leaf), took);
-        self.took_connection(leaf);
+    /// Records the time of opening a connection to a leaf.
+    pub fn connection_opened(&self, leaf: &ListedLeaf, took: Duration) {
+        self.connections.record_open_time(self.distance(leaf), took);
+        self.connect_succeeded(leaf);
     }
 
-    /// Somebody took a connection at a leaf's address.
-    pub fn took_connection(&self, leaf: &ListedLeaf) {
+    /// Records that a connection to the address of a leaf was accepted.
+    pub fn connect_succeeded(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, now, settings| {
             replicas.record_connection_accepted(now, settings, &leaf.identity);
         });
     }
 
-    /// Nobody listens at a leaf's address.
-    pub fn refused_connection(&self, leaf: &ListedLeaf) {
+    /// Records that nothing listens at the address of a leaf.
+    pub fn connect_refused(&self, leaf: &ListedLeaf) {
         self.with_replicas(&leaf.service, |replicas, _, _| {
             replicas.record_connection_refused(&leaf.identity);
         });
     }
 
-    /// Logs the leaves that are presumed to have ended from now on; gives those to which a connection is to be
-    /// opened, to learn whether they are there.
-    pub fn look_after_missing(&self) -> Vec<ListedLeaf> {
+    /// Returns the leaves whose liveness is to be probed; logs those that are newly presumed ended.
+    pub fn leaves_to_probe(&self) -> Vec<ListedLeaf> {
         let now = self.clock.now();
         let mut leaves = self.leaves.borrow_mut();
         let Leaves { directory, services, .. } = &mut *leaves;
@@ -468,14 +473,14 @@
         to_check
     }
 
-    /// Whether connections are kept ready for requests with this target latency.
+    /// Whether standby connections are kept for requests with this target latency.
     pub fn keeps_ready(&self, target: Duration) -> bool {
         self.connections.keeps_ready(self.age(), target)
     }
 
-    /// Leaves of a service to which a connection is to be kept ready and none is open, the nearest
-    /// first. Those that are left out for a reason of their own are left alone.
-    pub fn without_connection(
+    /// Leaves of a service to which a standby connection is planned and none is open, the nearest
+    /// first. Leaves that are out of service are skipped.
+    pub fn leaves_needing_connection(
         &self,
         service: &ServiceName,
         limits: ServiceLimits,
@@ -487,7 +492,7 @@
         };
         let wanted = |identity: &&LeafIdentity| {
             let open = leaves.pools.get(*identity).is_some_and(LeafPool::is_open);
-            let waits = self.connections.refrains(now, identity);
+            let waits = self.connections.is_standby_paused(now, identity);
             !open && !waits && state.replicas.is_in_service(identity, now, &self.replica_settings)
         };
         let plan = self.plan(&leaves, service, limits.connections);
@@ -495,51 +500,52 @@
         identities.filter_map(|leaf| leaves.directory.leaves().get(leaf)).cloned().collect()
     }
 
-    /// A leaf took no connection: none is kept ready to it for a while.
-    pub fn connect_later(&self, leaf: &LeafIdentity) {
-        self.connections.refrain(self.clock.now(), leaf);
+    /// Pauses standby connections to a leaf that accepted none.
+    pub fn pause_standby(&self, leaf: &LeafIdentity) {
+        self.connections.pause_standby(self.clock.now(), leaf);
     }
 
-    /// How long leaves of a service say that they keep idle connections.
-    pub fn stated_keep(&self, service: &ServiceName) -> Option<Duration> {
-        self.leaves.borrow().services.get(service)?.stated_keep
+    /// How long leaves of a service keep idle connections, as they last stated.
+    pub fn keep_alive_timeout(&self, service: &ServiceName) -> Option<Duration> {
+        self.leaves.borrow().services.get(service)?.keep_alive_timeout
     }
 
-    /// A leaf of a service says how long it keeps idle connections.
-    pub fn note_stated_keep(&self, service: &ServiceName, stated: Option<Duration>) {
+    /// Records how long a leaf of a service keeps idle connections, if it stated that.
+    pub fn record_keep_alive_timeout(&self, service: &ServiceName, stated: Option<Duration>) {
         if let Some(state) = self.leaves.borrow_mut().services.get_mut(service) {
-            state.stated_keep = stated.or(state.stated_keep);
+            state.keep_alive_timeout = stated.or(state.keep_alive_timeout);
         }
     }
 
-    /// A leaf answered on a new connection.
+    /// Records that a leaf replied on a new connection.
     pub fn connection_accepted(&self, leaf: &LeafIdentity) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
-            pool.accepted();
+            pool.connection_accepted();
         }
     }
 
-    /// A leaf reset a new connection, which is still to be closed here; gives whether others to it
-    /// are open.
-    pub fn connection_refused(&self, leaf: &LeafIdentity) -> bool {
-        self.leaves.borrow_mut().pools.get_mut(leaf).is_some_and(LeafPool::refused)
+    /// Records that a leaf reset a new connection, which still counts as open; returns whether
+    /// others to the leaf are open.
+    pub fn connection_reset(&self, leaf: &LeafIdentity) -> bool {
+        self.leaves.borrow_mut().pools.get_mut(leaf).is_some_and(LeafPool::connection_reset)
     }
 
-    /// A connection to a leaf is closed.
+    /// Releases a connection to a leaf that was closed.
     pub fn connection_closed(&self, leaf: &LeafIdentity) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
-            pool.closed();
+            pool.connection_closed();
         }
     }
 
-    /// A connection to a leaf is idle again. That to a leaf which is gone is closed.
-    pub fn give_back(&self, leaf: &LeafIdentity, connection: LeafConnection) {
+    /// Returns a connection to the idle pool of its leaf; closes it if the leaf is no longer
+    /// listed.
+    pub fn return_connection(&self, leaf: &LeafIdentity, connection: LeafConnection) {
         if let Some(pool) = self.leaves.borrow_mut().pools.get_mut(leaf) {
-            pool.give_back(connection);
+            pool.return_connection(connection);
         }
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes idle connections past their keep-alive timeout.
     pub fn close_expired(&self) {
         self.leaves.borrow_mut().pools.values_mut().for_each(LeafPool::close_expired);
     }
--- a/crates/broker/src/routes/leaf_registry/choice.rs
+++ b/crates/broker/src/routes/leaf_registry/choice.rs
@@ -1,4 +1,4 @@
-//! Which leaf a request is sent to: of those that it may go to, the best.
+//! Selection of the leaf to which a request is sent.
 
 use gingerkeel_domain::directory::ListedLeaf;
 use gingerkeel_domain::forwarding::{Connectivity, Exclusion, NoLeafReason, Selection};
@@ -9,28 +9,28 @@
 use super::LeafRegistry;
 use crate::routes::known_leaves::{Leaves, ServiceLimits};
 
-/// For what a leaf is asked.
-pub struct Asker<'request> {
+/// The request for which a leaf is selected.
+pub struct RequestContext<'request> {
     /// The route of the request.
     pub route: &'request Route,
     /// The tenant that sent it, where that is known.
     pub tenant: Option<&'request Tenant>,
-    /// The service that is asked.
+    /// The service whose leaves are considered.
     pub service: &'request ServiceName,
 }
 
 impl LeafRegistry {
-    /// Chooses a leaf other than those tried, by the first rule of versions by which one can be asked.
+    /// Selects a leaf that has not been tried, by the first version rule that leaves a candidate.
     pub fn choose(
         &self,
-        asker: &Asker<'_>,
+        context: &RequestContext<'_>,
         versions: &VersionRules,
         limits: ServiceLimits,
         tried: &[LeafIdentity],
     ) -> Selection {
         let mut selection = Selection::NoLeaf(NoLeafReason::NoneListed);
         for rule in versions.in_order() {
-            selection = self.choose_of_versions(asker, rule, limits, tried);
+            selection = self.choose_of_versions(context, rule, limits, tried);
             if !matches!(selection, Selection::NoLeaf(_)) {
                 break;
             }
@@ -40,39 +40,39 @@
 
     fn choose_of_versions(
         &self,
-        asker: &Asker<'_>,
+        context: &RequestContext<'_>,
         versions: &VersionRule,
         limits: ServiceLimits,
         tried: &[LeafIdentity],
     ) -> Selection {
         let leaves = self.leaves.borrow();
-        let Some(state) = leaves.services.get(asker.service) else {
+        let Some(state) = leaves.services.get(context.service) else {
             return Selection::NoLeaf(NoLeafReason::NoneListed);
         };
         let reach = |leaf: &LeafIdentity| match leaves.directory.leaves().get(leaf) {
             Some(leaf) if !versions.allows(&leaf.version) => Err(Exclusion::VersionHeldBack),
-            Some(leaf) => self.reach(&leaves, asker, limits, leaf),
+            Some(leaf) => self.reach(&leaves, context, limits, leaf),
             None => Ok(Connectivity::Exhausted),
         };
         let settings = &self.replica_settings;
         state.replicas.choose(self.clock.now(), settings, tried, reach, || self.draw())
     }
 
-    /// By what a leaf is reached, or why requests of the route and the tenant may not go there.
+    /// How a leaf can be reached, or why the request must not be sent to it.
     fn reach(
         &self,
         leaves: &Leaves,
-        asker: &Asker<'_>,
+        context: &RequestContext<'_>,
         limits: ServiceLimits,
         leaf: &ListedLeaf,
     ) -> Result<Connectivity, Exclusion> {
-        if !asker.route.allows_region(asker.tenant, self.region(leaf)) {
+        if !context.route.allows_region(context.tenant, self.region(leaf)) {
             return Err(Exclusion::RegionNotAllowed);
         }
         if self.evacuated.borrow().contains(&leaf.zone) {
             return Err(Exclusion::ZoneEvacuated);
         }
-        if !self.has_room_while_cold(leaves, limits, leaf) {
+        if !self.is_within_cold_rate(leaves, limits, leaf) {
             return Err(Exclusion::ColdRateSpent);
         }
         Ok(self.connectivity(leaves, limits.connections, leaf))
--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! Serving of routes: requests by host and path to one leaf, or to one leaf of each shard.
+//! Route serving: forwards requests by host and path to one leaf, or to one leaf of each shard.
 
 mod admission;
 mod attempt;
@@ -45,7 +45,7 @@
 use tracing::{info, warn};
 
 pub use crash_watch::request_digest;
-pub use dialect::{Dialect, read_load};
+pub use dialect::{Dialect, parse_load_report};
 
 use crate::feed::{self, FeedInputs, RouteUpdate};
 use crate::reload;
@@ -55,20 +55,20 @@
 use callers::CallerServer;
 use state::RouteState;
 
-/// Time between two looks at idle connections.
+/// Interval of closing expired connections and updating canary routes.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two reports of slow leaves: what they tell is of use for some seconds.
+/// Interval of reporting slow leaves; a report is useful for a few seconds.
 const SLOW_LEAVES_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two reports of what tenants used: a killed broker takes what it did not report with it,
-/// and what all brokers admit within it can be too much once.
+/// Interval of usage reports. A killed broker loses the usage not yet reported, and the brokers
+/// together may once exceed a quota by what they admit within one interval.
 const USAGE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two reports of roll-outs: a bad version gets requests for as long as nobody knows.
+/// Interval of roll-out reports; a bad version keeps getting requests until it is reported.
 const ROLLOUTS_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two looks at whether a planned stop is done.
+/// Interval of checking whether a planned stop is complete.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Serves routes, and nothing else, until a planned stop has finished what was in flight. The
-/// settings are read again from `source` when it changes.
+/// Serves only routes, until a planned stop has finished the requests in flight. The settings are
+/// reloaded from `source` when it changes.
 ///
 /// # Errors
 /// An [`io::Error`] when an address cannot be bound or signals cannot be watched.
@@ -92,15 +92,15 @@
     Ok(())
 }
 
-/// The serving of routes in this process.
+/// Route serving of this process.
 pub struct RouteServer {
     state: Rc<RouteState>,
     open: Rc<Cell<usize>>,
 }
 
 impl RouteServer {
-    /// Listens for callers, who are served once the news of routes and leaves have come over the
-    /// channel that is given back. What control is to hear of goes to `reporters`.
+    /// Listens for callers. They are served once routes and leaves have arrived on the returned
+    /// channel. Reports to control go to `reporters`.
     ///
     /// # Errors
     /// An [`io::Error`] when an address cannot be bound.
@@ -139,8 +139,8 @@
         let server = CallerServer::new(state.clone(), stop.clone());
         let open = server.open_connections();
         monoio::spawn(server.run(listener));
-        monoio::spawn(keep_up(state.clone()));
-        monoio::spawn(standby::keep_ready(state.clone()));
+        monoio::spawn(run_upkeep(state.clone()));
+        monoio::spawn(standby::maintain(state.clone()));
         monoio::spawn(leaf_checks::run(state.clone()));
         monoio::spawn(report_slow_leaves(state.clone(), reporters.slow_leaves));
         monoio::spawn(report_usage(state.clone(), reporters.usage));
@@ -150,8 +150,8 @@
         Ok((Self { state, open }, updates))
     }
 
-    /// A planned stop has begun: waits until no connection is open and none can come any more, or
-    /// the time is over.
+    /// Begins a planned stop and waits until no connection is open and no new ones are expected, or
+    /// until the stop times out.
     pub async fn finish(self) {
         info!(event = "stopping", open = self.open.get());
         let (clock, stop) = (self.state.clock, self.state.stop());
@@ -161,12 +161,12 @@
             }
             sleep(STOP_POLL).await;
         }
-        // What was read from them has its answer.
+        // Requests read from these connections have been answered.
         warn!(event = "stopped_with_open_connections", open = self.open.get());
     }
 }
 
-/// Follows the control processes for ever.
+/// Starts the feed from the control processes.
 fn follow(
     settings: BrokerSettings,
     clock: Clock,
@@ -176,11 +176,11 @@
 ) {
     let run = BrokerRun(rand::rng().random());
     let (engine, mut messages) = unbounded::channel();
-    // Without queries there is nothing to charge for and nothing to report.
+    // A broker without queries discards the messages for the query engine.
     monoio::spawn(async move { while messages.recv().await.is_some() {} });
     let (last_report, last_reports) = unbounded::channel();
     monoio::spawn(async move {
-        // Kept so that the feed does not take it for the end of the process.
+        // Kept open: the feed would take a closed channel for the end of the process.
         let _last_report = last_report;
         let inputs = FeedInputs { last_reports, controls, route_reports };
         feed::follow(settings, run, clock, engine, inputs, Some(updates)).await;
@@ -195,16 +195,16 @@
             RouteUpdate::DirectoryChange(delta) => state.leaves.change_directory(&delta),
             RouteUpdate::FreshUntil(until) => state.set_fresh_until(until),
             RouteUpdate::LeafWarnings(warnings) => {
-                state.metrics.warned(warnings.len());
-                state.leaves.warn(&warnings);
+                state.metrics.leaf_warnings_received(warnings.len());
+                state.leaves.apply_warnings(&warnings);
             }
-            RouteUpdate::CrashFindings(findings) => state.crashes.told(&findings),
+            RouteUpdate::CrashFindings(findings) => state.crashes.apply_peer_findings(&findings),
             RouteUpdate::RefusedRequests { findings, is_whole } => {
-                state.crashes.recorded(&findings, is_whole)
+                state.crashes.apply_recorded_findings(&findings, is_whole)
             }
             RouteUpdate::Trial { ticket, granted } => state.crashes.trial_answered(ticket, granted),
-            RouteUpdate::Evacuated(zones) => state.evacuate(zones),
-            RouteUpdate::Rollouts(rollouts) => state.roll_out(rollouts),
+            RouteUpdate::Evacuated(zones) => state.set_evacuated_zones(zones),
+            RouteUpdate::Rollouts(rollouts) => state.apply_rollouts(rollouts),
             RouteUpdate::Brokers(brokers) => {
                 state.quotas.set_brokers(brokers.len());
                 state.leaves.set_brokers(brokers);
@@ -214,21 +214,21 @@
                 state.crashes.link_up();
             }
             RouteUpdate::LinkDown => state.quotas.link_down(),
-            RouteUpdate::Usage(usage) => state.quotas.told(&usage),
+            RouteUpdate::Usage(usage) => state.quotas.apply_fleet_usage(&usage),
         }
-        state.note_known();
+        state.signal_if_ready();
     }
 }
 
-/// Reports the leaves that were slow, for as long as somebody takes the reports.
+/// Reports slow leaves until the receiver is dropped.
 async fn report_slow_leaves(state: Rc<RouteState>, reports: bounded::Tx<SlowLeaves>) {
     loop {
         sleep(SLOW_LEAVES_INTERVAL).await;
-        let observations = state.leaves.take_slow();
+        let observations = state.leaves.take_observations();
         if observations.is_empty() {
             continue;
         }
-        state.metrics.reported(observations.len());
+        state.metrics.slow_leaves_reported(observations.len());
         let report = SlowLeaves { at: state.clock.now(), observations };
         if reports.send(report).await.is_err() {
             return;
@@ -236,11 +236,11 @@
     }
 }
 
-/// Reports what tenants used of their quotas, for as long as somebody takes the reports.
+/// Reports the quota usage of tenants until the receiver is dropped.
 async fn report_usage(state: Rc<RouteState>, reports: bounded::Tx<LinkedUsage>) {
     loop {
         sleep(USAGE_INTERVAL).await;
-        state.quotas.note_relief();
+        state.quotas.log_relieved_tenants();
         if let Some(report) = state.quotas.report()
             && reports.send(report).await.is_err()
         {
@@ -249,21 +249,21 @@
     }
 }
 
-/// Reports what came to light of roll-outs, for as long as somebody takes the reports.
+/// Reports the evidence of roll-outs until the receiver is dropped.
 async fn report_rollouts(state: Rc<RouteState>, reports: bounded::Tx<Vec<RolloutReport>>) {
     loop {
         sleep(ROLLOUTS_INTERVAL).await;
-        let news = state.rollouts.take_reports();
-        if !news.is_empty() && reports.send(news).await.is_err() {
+        let rollout_reports = state.rollouts.take_reports();
+        if !rollout_reports.is_empty() && reports.send(rollout_reports).await.is_err() {
             return;
         }
     }
 }
 
-async fn keep_up(state: Rc<RouteState>) {
+async fn run_upkeep(state: Rc<RouteState>) {
     loop {
         sleep(UPKEEP_INTERVAL).await;
         state.leaves.close_expired();
-        state.crashes.look_at_routes();
+        state.crashes.refresh_canary_routes();
     }
 }
--- a/crates/broker/src/routes/readiness.rs
+++ b/crates/broker/src/routes/readiness.rs
@@ -1,4 +1,4 @@
-//! The answer to the question whether this broker is ready for callers.
+//! HTTP readiness endpoint of the broker.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,15 +12,15 @@
 
 use super::state::RouteState;
 
-/// Pause after a connection could not be accepted, as when descriptors are short.
+/// Pause after a failed accept, such as without free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers for ever.
+/// Serves readiness checks; never returns.
 pub async fn serve(listener: TcpListener, state: Rc<RouteState>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, state.clone()));
+                monoio::spawn(serve_connection(stream, state.clone()));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "readiness", %error);
@@ -30,7 +30,7 @@
     }
 }
 
-async fn converse(stream: TcpStream, state: Rc<RouteState>) {
+async fn serve_connection(stream: TcpStream, state: Rc<RouteState>) {
     let mut connection = ServerConnection::new(stream, Limits::default());
     while let Ok(Some(request)) = connection.next_request().await {
         let known = request.uri().path() == state.dialect.readiness_path;
--- a/crates/broker/src/routes/serving.rs
+++ b/crates/broker/src/routes/serving.rs
@@ -1,4 +1,4 @@
-//! One request from its route to its outcome.
+//! Serves one request, from the route lookup to its outcome.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 use monoio::time::timeout;
 
 use super::attempt::{ForwardedRequest, LeafReply};
-use super::attempts::{Parts, ask};
+use super::attempts::{FanOut, call_service};
 use super::authentication::{CallerIdentity, UnknownKey, authenticate};
 use super::gather::gather;
-use super::record::Record;
+use super::record::RequestRecord;
 use super::respond::{MergedAnswer, Refusal};
 use super::state::RouteState;
 
-/// When a caller is asked to come back after no leaf took its request.
+/// Retry-after if no leaf accepted the request.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(150);
-/// When a caller is asked to come back whose request no leaf may serve as routes and leaves are: about as
-/// long as an operator's change or news of leaves take to be in force.
+/// Retry-after if no leaf may serve the request under the current routes and leaves: about as long
+/// as a change of either takes to be in force.
 const LASTING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When a caller is asked to come back while no control process is in touch.
+/// Retry-after while no control process is reachable.
 const OUT_OF_TOUCH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of a request.
+/// Outcome of a request.
 pub enum Served {
     /// Parts of several leaves, merged.
     Merged(MergedAnswer),
@@ -38,11 +38,14 @@
     Refused(Refusal),
 }
 
-/// Serves one request. When the future is dropped the caller has left, and everything for the
-/// request is cancelled. The record is to be kept until the answer is written: what it writes then may
-/// take longer than the answer.
-pub async fn serve(state: &Rc<RouteState>, mut request: ForwardedRequest) -> (Served, Record) {
-    state.wait_until_known(request.deadline).await;
+/// Serves one request. Dropping the future, as when the caller disconnects, cancels all its work.
+/// The record must be kept until the answer is written: writing its log lines may take longer than
+/// the answer.
+pub async fn serve(
+    state: &Rc<RouteState>,
+    mut request: ForwardedRequest,
+) -> (Served, RequestRecord) {
+    state.wait_until_ready(request.deadline).await;
     let found = find_route(state, &request.head);
     if let Ok(found) = &found {
         request.identify(&state.dialect, &found.caller);
@@ -53,20 +56,20 @@
         let left = state.clock.until(stop.answers_by());
         request.deadline = request.deadline.min(Instant::now() + left);
     }
-    let mut record = Record::new(state.clone(), request);
-    let Found { table, route, .. } = match found {
+    let mut record = RequestRecord::new(state.clone(), request);
+    let MatchedRequest { table, route, .. } = match found {
         Ok(found) => found,
         Err(refused) => return (record.refuse(refused.refusal, refused.reason), record),
     };
-    record.found(&route);
-    if !state.takes(&route) {
+    record.set_route(&route);
+    if !state.accepts(&route) {
         let refusal = Refusal::NotRun { retry_after: BUSY_RETRY_AFTER };
         return (record.refuse(refusal, "stopping"), record);
     }
-    if let Some(left) = state.crashes.refused_for(&route, record.request()) {
-        return (kept_from_leaves(state, &route, &mut record, left), record);
+    if let Some(left) = state.crashes.refusal_left(&route, record.request()) {
+        return (refuse_crashing_request(state, &route, &mut record, left), record);
     }
-    if let Err(retry_after) = record.count() {
+    if let Err(retry_after) = record.charge_quota() {
         let refusal = Refusal::OverQuota { retry_after };
         return (record.refuse(refusal, refusal.outcome()), record);
     }
@@ -75,32 +78,33 @@
         return (record.refuse(Refusal::NotRun { retry_after }, "leaves_overloaded"), record);
     }
     record.admitted(state.clock.now() >= candidate.in_time_until);
-    // What others found while it waited counts, too.
-    let usual = state.crashes.usual_caution(&route);
+    // Findings that arrived while the request was queued count, too.
+    let usual = state.crashes.default_caution(&route);
     let caution = state.crashes.caution(&route, record.request(), usual).await;
     let served = match caution {
         Ok(caution) => {
             record.request().trail.sent_with(caution);
             serve_route(state, &route, record.request(), caution).await
         }
-        Err(left) => return (kept_from_leaves(state, &route, &mut record, left), record),
+        Err(left) => return (refuse_crashing_request(state, &route, &mut record, left), record),
     };
     record.end(&served);
     (served, record)
 }
 
-/// Refuses a request whose like has crashed leaves: it comes back when one try is let through.
-fn kept_from_leaves(
+/// Refuses a request that has crashed leaves, with a retry-after at which a trial may be due.
+fn refuse_crashing_request(
     state: &RouteState,
     route: &Route,
-    record: &mut Record,
+    record: &mut RequestRecord,
     left: Duration,
 ) -> Served {
     state.metrics.kept_from_leaves(&route.name);
     record.refuse(Refusal::NotRun { retry_after: left }, "crashes_leaves")
 }
 
-/// Whether a request is refused for want of a key. Its head tells, so that its body need not be read.
+/// Whether a request is refused for lack of a key. The head decides, so that the body need not be
+/// read.
 pub fn lacks_key(state: &RouteState, head: &RequestHead) -> bool {
     find_route(state, head).is_err_and(|refused| refused.refusal == Refusal::Unauthorized)
 }
@@ -108,27 +112,27 @@
 /// Refuses a request that [`lacks_key`].
 pub fn refuse_unread(state: &Rc<RouteState>, request: ForwardedRequest) -> Refusal {
     let refusal = Refusal::Unauthorized;
-    Record::new(state.clone(), request).refuse(refusal, refusal.outcome());
+    RequestRecord::new(state.clone(), request).refuse(refusal, refusal.outcome());
     refusal
 }
 
-/// A request that is refused by its head, for a reason in one word.
+/// Refusal decided by the head of a request, with the outcome for logs and metrics.
 struct RefusedByHead {
     refusal: Refusal,
     reason: &'static str,
 }
 
-/// Where a request goes, and whose it is.
-struct Found {
+/// Route and caller of a request.
+struct MatchedRequest {
     table: Rc<RouteTable>,
     route: Arc<Route>,
     caller: CallerIdentity,
 }
 
-fn find_route(state: &RouteState, head: &RequestHead) -> Result<Found, RefusedByHead> {
+fn find_route(state: &RouteState, head: &RequestHead) -> Result<MatchedRequest, RefusedByHead> {
     let refused = |refusal, reason| RefusedByHead { refusal, reason };
     let Some(table) = state.table().filter(|_| state.leaves.is_listed()) else {
-        let refusal = Refusal::NotRun { retry_after: state.start_left() };
+        let refusal = Refusal::NotRun { retry_after: state.startup_retry_after() };
         return Err(refused(refusal, "nothing_known_yet"));
     };
     if state.is_out_of_date() {
@@ -141,7 +145,7 @@
     };
     let caller = authenticate(&state.dialect, table.keys(), &route, head)
         .map_err(|UnknownKey| refused(Refusal::Unauthorized, "unauthorized"))?;
-    Ok(Found { table, route, caller })
+    Ok(MatchedRequest { table, route, caller })
 }
 
 async fn serve_route(
@@ -171,25 +175,27 @@
     caution: Caution,
 ) -> Served {
     let left = request.deadline.saturating_duration_since(Instant::now());
-    let parts = Parts::new(state, route, 0, caution);
-    match timeout(left, ask(state, route, service, request, &parts)).await {
+    let fan_out = FanOut::new(state, route, 0, caution);
+    match timeout(left, call_service(state, route, service, request, &fan_out)).await {
         Ok(Some(reply)) => Served::Relayed(Box::new(reply)),
-        Ok(None) => Served::Refused(unanswered(request, false, BUSY_RETRY_AFTER)),
-        Err(_) => Served::Refused(unanswered(request, true, BUSY_RETRY_AFTER)),
+        Ok(None) => Served::Refused(refusal_without_answer(request, false, BUSY_RETRY_AFTER)),
+        Err(_) => Served::Refused(refusal_without_answer(request, true, BUSY_RETRY_AFTER)),
     }
 }
 
-/// What a caller is told whose request gets no answer. One that has not run is to come back after the usual
-/// time, or later where the reason lasts.
-pub(super) fn unanswered(
+/// The refusal of a request that got no answer. One that has not run may be retried after
+/// `default_retry_after`, or later if the reason is lasting.
+pub(super) fn refusal_without_answer(
     request: &ForwardedRequest,
     time_is_over: bool,
-    usual: Duration,
+    default_retry_after: Duration,
 ) -> Refusal {
     match request.evidence.get().failure(time_is_over) {
         RequestFailure::NotRun => {
-            let lasts = request.trail.nobody_reason().is_some_and(NoLeafReason::is_lasting);
-            Refusal::NotRun { retry_after: if lasts { LASTING_RETRY_AFTER } else { usual } }
+            let lasts = request.trail.no_leaf_reason().is_some_and(NoLeafReason::is_lasting);
+            Refusal::NotRun {
+                retry_after: if lasts { LASTING_RETRY_AFTER } else { default_retry_after },
+            }
         }
         RequestFailure::TimedOut => Refusal::TimedOut,
         RequestFailure::NoAnswer => Refusal::NoReply,
--- a/crates/broker/src/routes/standby.rs
+++ b/crates/broker/src/routes/standby.rs
@@ -1,7 +1,7 @@
-//! Connections that are kept ready for the parts of gathered answers.
+//! Idle connections kept open in advance for the parts of gathered answers.
 //!
-//! A hedge has to come back within what is left of the target latency. Where the second leaf is far
-//! away, a connection that is still to be opened costs as much as the request itself.
+//! A hedge has to return within what is left of the target latency. To a leaf in another region,
+//! opening a connection takes as long as the request itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,54 +13,54 @@
 use super::pool::LeafConnection;
 use super::state::RouteState;
 
-/// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
-/// Connections that are opened in one round: those of a hundred shards are ready within about two
-/// seconds, and leaves are not met by all brokers at once.
-const OPENED_IN_A_ROUND: usize = 20;
-/// Time in which the reset of a connection that the leaf does not accept arrives: the way there and
-/// back between regions.
-const RESET_TIME: Duration = Duration::from_millis(100);
-/// Time that a leaf has to take the connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+/// Time between two rounds of opening connections.
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// Connections opened in one round: those of a hundred shards are open within about two seconds,
+/// and leaves are not hit by all brokers at once.
+const OPENS_PER_ROUND: usize = 20;
+/// Time within which the reset of a connection that the leaf does not accept arrives: a round trip
+/// between regions.
+const RESET_WAIT: Duration = Duration::from_millis(100);
+/// Timeout of opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Keeps connections ready for ever.
-pub async fn keep_ready(state: Rc<RouteState>) {
+/// Keeps the planned connections open; never returns.
+pub async fn maintain(state: Rc<RouteState>) {
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         if state.is_stopping() {
             continue;
         }
-        for (service, leaf) in state.leaves_without_connection(OPENED_IN_A_ROUND) {
+        for (service, leaf) in state.standby_targets(OPENS_PER_ROUND) {
             monoio::spawn(open(state.clone(), service, leaf));
         }
     }
 }
 
-/// Opens a connection and leaves it idle.
+/// Opens a connection and returns it to the pool as idle.
 async fn open(state: Rc<RouteState>, service: ServiceName, leaf: ListedLeaf) {
     let limits = state.service_limits(&service);
-    if !state.leaves.admit_connection(limits.connections, &leaf) {
+    if !state.leaves.reserve_connection(limits.connections, &leaf) {
         return;
     }
-    match timeout(CONNECT_LIMIT, LeafConnection::connect(leaf.address)).await {
+    match timeout(CONNECT_TIMEOUT, LeafConnection::connect(leaf.address)).await {
         Ok(Ok(mut connection)) => {
-            sleep(RESET_TIME).await;
-            if connection.is_quiet() {
-                connection.keep_for(state.leaves.stated_keep(&service));
-                state.leaves.give_back(&leaf.identity, connection);
+            sleep(RESET_WAIT).await;
+            if connection.is_reusable() {
+                connection.set_keep_alive(state.leaves.keep_alive_timeout(&service));
+                state.leaves.return_connection(&leaf.identity, connection);
             } else {
-                // The leaf has as many as it accepts.
-                state.leaves.connection_refused(&leaf.identity);
-                refrain(&state, &leaf);
+                // The leaf is at its connection limit.
+                state.leaves.connection_reset(&leaf.identity);
+                pause_standby(&state, &leaf);
             }
         }
-        _ => refrain(&state, &leaf),
+        _ => pause_standby(&state, &leaf),
     }
 }
 
-/// Leaves a leaf alone for a while that took no connection: whoever has a request for it comes first.
-fn refrain(state: &RouteState, leaf: &ListedLeaf) {
+/// Pauses standby connections to a leaf that accepted none: connections for requests have priority.
+fn pause_standby(state: &RouteState, leaf: &ListedLeaf) {
     state.leaves.connection_closed(&leaf.identity);
-    state.leaves.connect_later(&leaf.identity);
+    state.leaves.pause_standby(&leaf.identity);
 }
