--- a/crates/domain/src/quota/bucket.rs
+++ b/crates/domain/src/quota/bucket.rs
@@ -1,22 +1,22 @@
-//! A token bucket that may be in debt.
+//! A token bucket whose level may be negative.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Time in which a debt of that size is paid back, besides the capacity and [`FIXED_DEBT`]. A longer debt would come
-/// from counts that are wrong (told twice), and would shut a tenant out.
-const LONGEST_DEBT: Duration = Duration::from_secs(10);
-/// Requests of debt that are kept at any rate: as many as operators tolerate beyond small quotas.
+/// Refill time of the largest debt, besides the capacity and [`FIXED_DEBT`]. A larger debt can only
+/// come from wrong counts (a duplicate report) and would lock a tenant out.
+const MAX_DEBT_TIME: Duration = Duration::from_secs(10);
+/// Debt in requests that is kept at any rate: the excess that operators tolerate for small quotas.
 const FIXED_DEBT: f64 = 100.0;
 
-/// The debt that a bucket keeps at most.
-pub(super) fn deepest_debt(rate: f64, capacity: f64) -> f64 {
-    rate * LONGEST_DEBT.as_secs_f64() + capacity + FIXED_DEBT
+/// Largest debt that a bucket keeps, in requests.
+pub(super) fn max_debt(rate: f64, capacity: f64) -> f64 {
+    rate * MAX_DEBT_TIME.as_secs_f64() + capacity + FIXED_DEBT
 }
 
-/// Requests that a quota has left: refilled by its rate up to its capacity, and below nothing where
-/// more were taken than it had.
+/// Requests that a quota has left, refilled at its rate up to its capacity. Negative when more
+/// requests were taken than available.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Bucket {
     rate: f64,
@@ -30,23 +30,23 @@
         Self { rate, capacity, level: level.min(capacity), refilled: now }
     }
 
-    /// Changes rate and capacity; a level above the capacity is cut to it.
+    /// Changes rate and capacity, and clamps the level to the new bounds.
     pub(super) fn configure(&mut self, now: Timestamp, rate: f64, capacity: f64) {
         self.refill(now);
         self.rate = rate;
         self.capacity = capacity;
-        let deepest = deepest_debt(rate, capacity);
-        self.level = self.level.min(capacity).max(-deepest);
+        let max_debt = max_debt(rate, capacity);
+        self.level = self.level.min(capacity).max(-max_debt);
     }
 
-    /// Takes `requests`, whether or not the bucket has them.
+    /// Takes `requests`, into debt if necessary.
     pub(super) fn take(&mut self, now: Timestamp, requests: f64) {
         self.refill(now);
-        let deepest = deepest_debt(self.rate, self.capacity);
-        self.level = (self.level - requests).max(-deepest);
+        let max_debt = max_debt(self.rate, self.capacity);
+        self.level = (self.level - requests).max(-max_debt);
     }
 
-    /// Gives requests back that were taken without need, as far as there is room; gives how many.
+    /// Returns requests that were not used, up to the capacity. Returns how many were credited.
     pub(super) fn give_back(&mut self, now: Timestamp, requests: f64) -> f64 {
         self.refill(now);
         let given = requests.min(self.capacity - self.level).max(0.0);
--- a/crates/domain/src/quota/counts.rs
+++ b/crates/domain/src/quota/counts.rs
@@ -1,4 +1,4 @@
-//! What a broker counted and control has not acknowledged.
+//! Request counts of a broker that control has not acknowledged yet.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,18 +7,19 @@
 use crate::identifiers::TenantName;
 use crate::time::Timestamp;
 
-/// Time after which a broker reports though nothing came to it, so that a silent one is known to be cut off
-/// or to stand still.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(500);
+/// Interval of empty reports (heartbeats) of an idle broker, so that control can detect a broker
+/// that is partitioned or suspended.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest time of which arrivals are reported. Control takes them for what comes now: those of the time without a
-/// link would look like many times the load, and would have requests within the quota refused.
-const ARRIVALS_OF: Duration = Duration::from_millis(300);
+/// Longest period whose arrivals are reported. Control takes reported arrivals for the current
+/// load: those of a whole link outage would look like many times the load, and requests within the
+/// quota would be refused.
+const MAX_ARRIVAL_SPAN: Duration = Duration::from_millis(300);
 
-/// Time that one slot of a count spans: what is too old to matter is dropped in such steps.
+/// Length of one slot of a count, the granularity at which expired requests are dropped.
 const SLOT: Duration = Duration::from_secs(1);
 
-/// Requests of one tenant in one slot of time.
+/// Requests of one tenant in one time slot.
 #[derive(Debug, Clone, Copy)]
 struct Slot {
     began: Timestamp,
@@ -26,7 +27,7 @@
     admitted: u32,
 }
 
-/// Requests of one tenant that were not reported, the oldest slot first.
+/// Requests of one tenant that are not reported yet, oldest slot first.
 #[derive(Debug, Default)]
 struct Count {
     slots: VecDeque<Slot>,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Drops what is older than `life`; gives how many admitted requests that were.
+    /// Drops slots older than `life`. Returns the number of admitted requests in them.
     fn drop_old(&mut self, now: Timestamp, life: Duration) -> u32 {
         let mut dropped = 0;
         while let Some(slot) = self.slots.front().filter(|slot| now.since(slot.began) > life) {
@@ -54,49 +55,49 @@
         dropped
     }
 
-    /// What is reported. Of a time longer than usual, as many arrivals as in the usual one.
+    /// The entry to report. Arrivals of a longer period are scaled down to [`MAX_ARRIVAL_SPAN`].
     fn as_use(&self, now: Timestamp, tenant: TenantName) -> TenantUse {
         let arrived: u32 = self.slots.iter().map(|slot| slot.arrived).sum();
         let admitted = self.slots.iter().map(|slot| slot.admitted).sum();
         let began = self.slots.front().map_or(now, |slot| slot.began);
-        let counted = now.since(began).max(ARRIVALS_OF);
-        let part = ARRIVALS_OF.as_secs_f64() / counted.as_secs_f64();
+        let counted = now.since(began).max(MAX_ARRIVAL_SPAN);
+        let part = MAX_ARRIVAL_SPAN.as_secs_f64() / counted.as_secs_f64();
         let arrived = (f64::from(arrived) * part).ceil() as u32;
         TenantUse { tenant, arrived, admitted }
     }
 }
 
-/// Counts that are to be reported, and reports that are on their way.
+/// Counts to report, and reports in flight.
 #[derive(Debug)]
 pub(super) struct Counts {
-    /// Time after which a request that nobody heard of does not matter any more.
+    /// Time after which an unreported request is dropped.
     life: Duration,
     fresh: BTreeMap<TenantName, Count>,
-    on_the_way: VecDeque<(Timestamp, UsageReport)>,
+    in_flight: VecDeque<(Timestamp, UsageReport)>,
     sequence: u64,
     reported: Option<Timestamp>,
 }
 
 impl Counts {
-    /// Nothing counted; requests matter for `life`.
+    /// No counts yet; unreported requests expire after `life`.
     pub(super) fn new(life: Duration) -> Self {
         Self {
             life,
             fresh: BTreeMap::new(),
-            on_the_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             sequence: 0,
             reported: None,
         }
     }
 
-    /// Counts a request; gives how many admitted ones have become too old to be reported.
+    /// Counts a request. Returns the number of admitted requests that expired unreported.
     pub(super) fn count(&mut self, now: Timestamp, tenant: &TenantName, admitted: bool) -> u32 {
         let count = self.fresh.entry(tenant.clone()).or_default();
         count.add(now, 1, u32::from(admitted));
         count.drop_old(now, self.life)
     }
 
-    /// An admitted request does not count after all. False when it is reported already.
+    /// Removes one admitted request from the counts. Returns false if all are already reported.
     pub(super) fn give_back(&mut self, tenant: &TenantName) -> bool {
         let slots = self.fresh.get_mut(tenant).map(|count| count.slots.iter_mut().rev());
         let slot = slots.and_then(|mut slots| slots.find(|slot| slot.admitted > 0));
@@ -107,9 +108,9 @@
         false
     }
 
-    /// The report that is due, if any.
+    /// The report that is due now, if any.
     pub(super) fn report(&mut self, now: Timestamp) -> Option<UsageReport> {
-        let quiet = self.reported.is_some_and(|at| now.since(at) < SIGN_OF_LIFE);
+        let quiet = self.reported.is_some_and(|at| now.since(at) < HEARTBEAT_INTERVAL);
         if self.fresh.is_empty() && quiet {
             return None;
         }
@@ -118,26 +119,27 @@
         let fresh = std::mem::take(&mut self.fresh).into_iter();
         let uses = fresh.map(|(tenant, count)| count.as_use(now, tenant));
         let report = UsageReport { sequence: self.sequence, uses: uses.collect() };
-        self.on_the_way.push_back((now, report.clone()));
+        self.in_flight.push_back((now, report.clone()));
         Some(report)
     }
 
-    /// Forgets the reports up to `heard`; gives what they told.
+    /// Drops the reports up to sequence `heard`. Returns their entries.
     pub(super) fn acknowledge(&mut self, heard: u64) -> Vec<TenantUse> {
-        let mut told = Vec::new();
-        while self.on_the_way.front().is_some_and(|(_, report)| report.sequence <= heard) {
-            let report = self.on_the_way.pop_front();
-            told.extend(report.into_iter().flat_map(|(_, report)| report.uses));
+        let mut acknowledged = Vec::new();
+        while self.in_flight.front().is_some_and(|(_, report)| report.sequence <= heard) {
+            let report = self.in_flight.pop_front();
+            acknowledged.extend(report.into_iter().flat_map(|(_, report)| report.uses));
         }
-        told
+        acknowledged
     }
 
-    /// What is on its way may be lost: it is reported again, but for what is too old to matter, which is given.
+    /// Queues the reports in flight, which may be lost, to be reported again. Returns the entries
+    /// of those that have expired.
     pub(super) fn take_back(&mut self, now: Timestamp) -> Vec<TenantUse> {
         self.reported = None;
         let mut dropped = Vec::new();
         let mut later = std::mem::take(&mut self.fresh);
-        for (sent, report) in std::mem::take(&mut self.on_the_way) {
+        for (sent, report) in std::mem::take(&mut self.in_flight) {
             if now.since(sent) > self.life {
                 dropped.extend(report.uses);
                 continue;
--- a/crates/domain/src/quota/fleet_tenant.rs
+++ b/crates/domain/src/quota/fleet_tenant.rs
@@ -1,31 +1,30 @@
-//! One tenant over all brokers, as a control process knows it.
+//! Quota state of one tenant over all brokers, at a control process.
 
 use std::time::Duration;
 
 use super::admission::{Balance, HORIZON};
 use super::bucket::Bucket;
-use super::metered::TOLD_PART;
+use super::metered::REPORTED_SHARE;
 use super::rate::DecayedRate;
-use super::share::{FLOW_MEMORY, LEAST_FLOW_TIME};
+use super::share::{FLOW_MEMORY, MIN_FLOW_TIME};
 use super::usage::TenantLevel;
 use crate::identifiers::TenantName;
 use crate::routes::TenantQuota;
 use crate::time::Timestamp;
 
-/// Time in which arrivals are averaged for what brokers are told: reports come each 100 ms, and a tenant that
-/// suddenly sends many times its quota is to be known after two or three of them.
+/// Time constant of the arrival rate sent to brokers: reports come every 100 ms, and a tenant that
+/// suddenly sends many times its quota has to show after two or three of them.
 const ARRIVAL_MEMORY: Duration = Duration::from_millis(300);
-/// ShareWithoutNews of the burst above which the level is worth no word, while little arrives.
-const AMPLE_PART: f64 = 0.75;
-/// What arrives, over what the quota has room for, above which brokers are told: before they have to refuse,
-/// so that they know their shares by then.
+/// Fraction of the burst above which the level is not sent while the arrival rate is low.
+const AMPLE_SHARE: f64 = 0.75;
+/// Weight of the arrivals when they are compared to the available quota: levels are sent before
+/// brokers have to refuse requests, so that they know their shares by then.
 const CLOSE: f64 = 0.5;
-/// Time after which a tenant is told of again while nothing presses, so that what brokers
-/// know of it does not run out.
-const TOLD_AGAIN: Duration = Duration::from_secs(1);
-/// Bounds of how pressing a tenant is: one of which nearly all is refused must not keep others from
-/// being told.
-const MOST_PRESSING: f64 = 10.0;
+/// Interval at which the level of a tenant is repeated, so that it does not expire at brokers.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Upper bound of the urgency by load, so that a tenant whose requests are nearly all refused does
+/// not keep the levels of others from being sent.
+const MAX_URGENCY: f64 = 10.0;
 const THOUSAND: f64 = 1_000.0;
 
 /// The use of one quota by all brokers.
@@ -35,15 +34,15 @@
     bucket: Bucket,
     arrivals: DecayedRate,
     flow: DecayedRate,
-    /// The share that brokers have which are not heard.
+    /// Share of the quota held by silent brokers.
     silent_share: f64,
-    /// When brokers were last told of it, while it was worth a word.
-    told: Option<Timestamp>,
+    /// When its level was last sent; none once the tenant is no longer near its quota.
+    sent_at: Option<Timestamp>,
 }
 
 impl FleetTenant {
-    /// A tenant that nobody has used yet, or, at a process that was not `informed` of what others use,
-    /// one that may have used its burst.
+    /// A tenant without any use, or, at a process that is not `informed` of the use at other
+    /// processes, one that may have used its whole burst.
     pub(super) fn new(now: Timestamp, quota: TenantQuota, informed: bool) -> Self {
         let (rate, burst) = (quota.per_second(), quota.burst());
         let level = if informed { burst } else { 0.0 };
@@ -53,7 +52,7 @@
             arrivals: DecayedRate::new(now, ARRIVAL_MEMORY),
             flow: DecayedRate::new(now, FLOW_MEMORY),
             silent_share: 0.0,
-            told: None,
+            sent_at: None,
         }
     }
 
@@ -62,12 +61,12 @@
         self.bucket.configure(now, quota.per_second(), quota.burst());
     }
 
-    /// Requests that the quota allows in so many seconds, with so many bursts.
+    /// Requests that the quota allows in `seconds`, plus `bursts` times its burst.
     pub(super) fn allowance(&self, seconds: f64, bursts: f64) -> f64 {
         self.quota.per_second() * seconds + self.quota.burst() * bursts
     }
 
-    /// Counts requests that arrived, and takes what was used of the quota.
+    /// Counts arrived requests, and takes the admitted ones from the quota.
     pub(super) fn count(&mut self, now: Timestamp, arrived: f64, taken: f64) {
         self.arrivals.add(now, arrived);
         self.flow.add(now, arrived);
@@ -78,17 +77,17 @@
         self.bucket.take(now, requests);
     }
 
-    /// Gives requests back that were only presumed, as far as there is room; gives how many.
+    /// Returns presumed requests to the quota, up to the burst. Returns how many were credited.
     pub(super) fn give_back(&mut self, now: Timestamp, requests: f64) -> f64 {
         self.bucket.give_back(now, requests)
     }
 
-    /// Requests that came to all brokers in the memory of flows, and the rate from which on brokers are told.
+    /// Decayed sum of the requests at all brokers, and the rate above which levels are sent.
     pub(super) fn flow(&self, now: Timestamp) -> (f64, f64) {
-        (self.flow.sum_at(now), self.quota.per_second() * TOLD_PART)
+        (self.flow.sum_at(now), self.quota.per_second() * REPORTED_SHARE)
     }
 
-    /// Keeps `share` of the quota for brokers that are not heard; gives what that takes from the level.
+    /// Reserves `share` of the quota for silent brokers. Returns the amount taken from the level.
     pub(super) fn reserve(&mut self, now: Timestamp, share: f64) -> f64 {
         self.silent_share = share.clamp(0.0, 1.0);
         let left = self.quota.burst() * (1.0 - self.silent_share);
@@ -97,23 +96,24 @@
         taken
     }
 
-    /// How pressing it is to tell brokers of it; none when there is nothing to tell.
+    /// Urgency of sending the level to brokers; none when there is nothing to send.
     pub(super) fn urgency(&mut self, now: Timestamp) -> Option<f64> {
         let balance = self.balance(now);
         if !self.is_near(now, &balance) {
-            // Relief is told once.
-            return self.told.map(|_| 1.0);
+            // The end of the limitation is sent once.
+            return self.sent_at.map(|_| 1.0);
         }
-        // A tenant that brokers know nothing of comes before all that they know of.
-        let waited = self.told.map_or(TOLD_AGAIN * 2, |told| now.since(told)).as_secs_f64();
-        let pressing = (1.0 / balance.fraction().max(0.01)).min(MOST_PRESSING);
-        Some(pressing * (1.0 + waited / TOLD_AGAIN.as_secs_f64()).powi(4))
+        // A tenant that is unknown to brokers takes precedence over known ones.
+        let waited =
+            self.sent_at.map_or(REPEAT_INTERVAL * 2, |sent_at| now.since(sent_at)).as_secs_f64();
+        let load = (1.0 / balance.fraction().max(0.01)).min(MAX_URGENCY);
+        Some(load * (1.0 + waited / REPEAT_INTERVAL.as_secs_f64()).powi(4))
     }
 
-    /// What brokers are told now.
-    pub(super) fn tell(&mut self, now: Timestamp, tenant: TenantName) -> TenantLevel {
+    /// The level to send to brokers now.
+    pub(super) fn take_level(&mut self, now: Timestamp, tenant: TenantName) -> TenantLevel {
         let balance = self.balance(now);
-        self.told = self.is_near(now, &balance).then_some(now);
+        self.sent_at = self.is_near(now, &balance).then_some(now);
         TenantLevel {
             tenant,
             level_thousandths: (balance.level * THOUSAND) as i64,
@@ -122,7 +122,7 @@
     }
 
     fn balance(&mut self, now: Timestamp) -> Balance {
-        // Brokers reckon with the whole rate; the level that they are told lacks what silent ones have of it.
+        // Brokers assume the whole rate, so the share of silent brokers is deducted from the level.
         let rate = self.quota.per_second();
         let of_silent = rate * self.silent_share * HORIZON.as_secs_f64();
         Balance {
@@ -134,9 +134,9 @@
     }
 
     fn is_near(&self, now: Timestamp, balance: &Balance) -> bool {
-        let usual = self.flow.per_second_seen(now, LEAST_FLOW_TIME);
-        let lasting = usual > balance.rate * TOLD_PART;
-        let used = balance.level < self.bucket.capacity() * AMPLE_PART;
+        let usual = self.flow.per_second_seen(now, MIN_FLOW_TIME);
+        let lasting = usual > balance.rate * REPORTED_SHARE;
+        let used = balance.level < self.bucket.capacity() * AMPLE_SHARE;
         let close = balance.arrivals * CLOSE > balance.rate + balance.level;
         lasting || used || close
     }
--- a/crates/domain/src/quota/fold.rs
+++ b/crates/domain/src/quota/fold.rs
@@ -1,75 +1,77 @@
-//! How much of the quotas all brokers use together, as a control process knows it.
+//! Aggregation of the quota use of all brokers at a control process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::fleet_tenant::FleetTenant;
 use super::peers::{OwnTotals, PeerTotals};
-use super::source::{Presumed, SILENCE_OF_BROKER, SILENCE_OF_CONTROL, Source};
+use super::source::{BROKER_SILENCE_TIMEOUT, CONTROL_SILENCE_TIMEOUT, Presumed, Source};
 use super::usage::{PeerUsage, TenantLevel, UsageReport};
 use crate::cluster::DEPARTED_RETENTION;
 use crate::identifiers::{BrokerName, BrokerRun, ControlName, TenantName};
 use crate::routes::TenantQuota;
 use crate::time::Timestamp;
 
-/// Time for which a control process that started listens at least before it tells levels: its brokers come
-/// and report, and it takes two reports to know how much arrives.
-const LISTENS_AT_LEAST: Duration = Duration::from_millis(500);
-/// Time after which it tells levels though it has not heard of all the others: they may be down, and its
-/// brokers go on by shares meanwhile, which refuses requests within a quota.
-const LISTENS_AT_MOST: Duration = Duration::from_millis(1_500);
-/// Time between two rounds after which the process itself stood still: what it did not hear is no sign of
-/// others.
-const STOOD_STILL: Duration = Duration::from_secs(1);
-/// Most tenants of a message to brokers: with names of 10 bytes 6 KB/s to each broker, half of
-/// what control may cost one. The most pressing come first, and each one's turn comes.
-const MOST_LEVELS: usize = 32;
+/// Minimum time after a start before levels are sent: brokers have to connect and report, and the
+/// arrival rate needs two reports.
+const MIN_LISTEN_TIME: Duration = Duration::from_millis(500);
+/// Time after a start after which levels are sent even without messages from all other control
+/// processes: they may be down, and until then brokers enforce shares, which refuses requests
+/// within a quota.
+const MAX_LISTEN_TIME: Duration = Duration::from_millis(1_500);
+/// Time between two rounds from which on this process itself was suspended, so that missing
+/// messages say nothing about the other processes.
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
+/// Maximum tenants per message to brokers: with names of 10 bytes this is 6 KB/s per broker, half
+/// of the budget for control traffic. The most urgent come first, and urgency grows with waiting
+/// time.
+const MAX_LEVELS: usize = 32;
 
-/// A broker or another control process.
+/// Identifies a source of usage reports.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum SourceId {
     Broker(BrokerName),
     Control(ControlName),
 }
 
-/// The last report that was taken of a broker.
+/// The last report applied for a broker.
 #[derive(Debug, Clone, Copy)]
 struct Heard {
     run: BrokerRun,
     sequence: u64,
 }
 
-/// The share of a quota that silent brokers have: of those that this process fed, and of all.
+/// Shares of a quota held by silent brokers: by those fed here, and by all.
 #[derive(Debug, Clone, Copy, Default)]
 struct SilentShares {
     fed_here: f64,
     all: f64,
 }
 
-/// The use of quotas at one control process.
+/// Aggregates quota use at one control process.
 ///
-/// Load it answers: hundreds of brokers that each see a small part of a tenant's requests, and tenants by
-/// the thousand of which few come near their quotas.
+/// Designed for hundreds of brokers that each see a small part of a tenant's requests, and for
+/// thousands of tenants of which few are near their quotas.
 #[derive(Debug)]
 pub struct UsageAggregator {
     own: OwnTotals,
     tenants: BTreeMap<TenantName, FleetTenant>,
     sources: BTreeMap<SourceId, Source>,
-    /// The last report that was taken of each broker with a link.
+    /// The last report applied for each connected broker.
     heard: BTreeMap<BrokerName, Heard>,
     peers: BTreeMap<ControlName, PeerTotals>,
-    /// Control processes that should be heard.
+    /// Control processes that are expected to report.
     expected: BTreeSet<ControlName>,
-    /// Brokers and the control process that feeds each, by the replicated list.
+    /// The control process that feeds each broker, by the replicated membership.
     fed_by: BTreeMap<BrokerName, ControlName>,
-    /// Brokers that may be serving; none before the list of members is known.
+    /// Number of brokers that may be serving; none before the membership is known.
     serving: Option<usize>,
     started: Option<Timestamp>,
-    looked: Option<Timestamp>,
+    updated: Option<Timestamp>,
 }
 
 impl UsageAggregator {
-    /// A control process that has just started; `run` is drawn for each start.
+    /// The state after a start of the process; `run` is drawn at each start.
     pub fn new(run: u64) -> Self {
         Self {
             own: OwnTotals::new(run),
@@ -81,11 +83,11 @@
             fed_by: BTreeMap::new(),
             serving: None,
             started: None,
-            looked: None,
+            updated: None,
         }
     }
 
-    /// Takes over the whole list of tenants. One that stays keeps its counts.
+    /// Replaces the list of tenants. Tenants that remain keep their counts.
     pub fn configure(
         &mut self,
         now: Timestamp,
@@ -102,8 +104,8 @@
         }
     }
 
-    /// A broker that this process feeds reports, in this run of its process. A report that comes twice counts
-    /// once.
+    /// Applies a report of a broker that this process feeds, from run `run` of the broker.
+    /// Duplicate reports are ignored.
     pub fn record_report(
         &mut self,
         now: Timestamp,
@@ -124,14 +126,14 @@
             let Some(tenant) = self.tenants.get_mut(&used.tenant) else {
                 continue;
             };
-            // What was presumed is given back first: a bucket that is full keeps none of it.
+            // Presumed requests are returned first, since a full bucket credits none of them.
             let given_back = tenant.give_back(now, presumed);
             tenant.count(now, arrived, admitted);
             self.own.add(&used.tenant, used.arrived, admitted - given_back);
         }
     }
 
-    /// Another control process tells its totals.
+    /// Applies the totals of another control process.
     pub fn record_peer_usage(&mut self, now: Timestamp, control: &ControlName, usage: &PeerUsage) {
         let totals = self.peers.entry(control.clone());
         let totals = totals.or_insert_with(|| PeerTotals::new(now, usage.run));
@@ -140,7 +142,7 @@
         source.hear(now);
         for total in &usage.totals {
             let grown = totals.grow(now, total);
-            let matters = source.unrefilled_part_of(&total.tenant);
+            let matters = source.unrefilled_fraction_of(&total.tenant);
             let (arrived, admitted) = (grown.arrived * matters, grown.admitted * matters);
             let presumed = source.count(now, &total.tenant, arrived);
             if let Some(tenant) = self.tenants.get_mut(&total.tenant) {
@@ -150,23 +152,24 @@
         }
     }
 
-    /// The link to a broker is lost without a word (a time-out): it may be serving, and is presumed to
-    /// go on.
+    /// Handles a broker link that timed out: the broker may still be serving, so its use is
+    /// presumed to continue.
     pub fn broker_lost(&mut self, now: Timestamp, broker: &BrokerName) {
         self.heard.remove(broker);
-        self.presume_silent(now, &SourceId::Broker(broker.clone()));
+        self.mark_silent(now, &SourceId::Broker(broker.clone()));
     }
 
-    /// A broker has ended or turned to another control process: it said so, or its side closed the
-    /// connection. Nothing is presumed of it.
+    /// Handles a broker that ended or moved to another control process, by its own message or by
+    /// closing the connection. No use is presumed for it.
     pub fn broker_stopped(&mut self, now: Timestamp, broker: &BrokerName) {
         self.heard.remove(broker);
         self.drop_source(now, &SourceId::Broker(broker.clone()));
     }
 
-    /// The brokers of the replicated list of members, each with the control process that feeds it; called whenever the list has changed.
+    /// Sets the control process that feeds each broker, by the replicated membership; called on
+    /// each change of the membership.
     ///
-    /// `serving` is the number of brokers alive and of those that left lately and may be cut off.
+    /// `serving` counts live brokers and recently departed ones that may be partitioned.
     pub fn set_members(
         &mut self,
         now: Timestamp,
@@ -175,10 +178,10 @@
     ) {
         self.serving = Some(serving.max(1));
         self.fed_by = fed_by.collect();
-        self.settle_moved(now);
+        self.release_moved(now);
     }
 
-    /// The other control processes; called whenever they have changed.
+    /// Sets the other control processes; called on each change.
     pub fn set_peers(&mut self, now: Timestamp, controls: impl Iterator<Item = ControlName>) {
         self.started.get_or_insert(now);
         self.expected = controls.collect();
@@ -193,59 +196,60 @@
         self.peers.retain(|control, _| expected.contains(control) || is_heard(control));
     }
 
-    /// What the other control processes are to be told, each 100 ms; an empty message tells them that
-    /// this process is there.
+    /// The message to the other control processes, built every 100 ms; an empty message serves as a
+    /// heartbeat.
     pub fn peer_message(&mut self, now: Timestamp) -> PeerUsage {
-        self.look(now);
+        self.update_silent(now);
         self.own.message()
     }
 
-    /// What the brokers that this process feeds are to be told, asked for each 100 ms, the most pressing first.
-    /// An empty list is sent as well, now and then: a broker that hears nothing takes itself for cut off. Nothing
-    /// is sent to brokers before [`Self::is_informed`].
+    /// The levels for the brokers that this process feeds, built every 100 ms, most urgent first.
+    /// Empty lists are sent as heartbeats, since a broker without messages considers itself
+    /// partitioned. Nothing is sent before [`Self::is_informed`].
     pub fn broker_levels(&mut self, now: Timestamp) -> Vec<TenantLevel> {
-        self.look(now);
+        self.update_silent(now);
         let due = self.tenants.iter_mut().filter_map(|(name, tenant)| {
             let urgency = tenant.urgency(now)?;
             Some((urgency, name.clone()))
         });
         let mut due: Vec<(f64, TenantName)> = due.collect();
         due.sort_by(|(one, a), (other, b)| other.total_cmp(one).then_with(|| a.cmp(b)));
-        due.truncate(MOST_LEVELS);
+        due.truncate(MAX_LEVELS);
         let level = |(_, name): (f64, TenantName)| {
             let tenant = self.tenants.get_mut(&name)?;
-            Some(tenant.tell(now, name))
+            Some(tenant.take_level(now, name))
         };
         due.into_iter().filter_map(level).collect()
     }
 
-    /// The last report of `broker` that is contained; 0 for none.
+    /// Sequence number of the last report applied for `broker`; 0 for none.
     pub fn last_sequence(&self, broker: &BrokerName) -> u64 {
         self.heard.get(broker).map_or(0, |heard| heard.sequence)
     }
 
-    /// Whether this process knows enough of the other brokers to tell levels: who there is, and what they use.
+    /// Whether this process knows enough to send levels: the membership, and the use at other
+    /// brokers.
     pub fn is_informed(&self, now: Timestamp) -> bool {
         if self.serving.is_none() {
             return false;
         }
         let listened = self.started.map_or(Duration::ZERO, |started| now.since(started));
         let all_heard = self.expected.iter().all(|control| self.peers.contains_key(control));
-        listened >= LISTENS_AT_MOST || (listened >= LISTENS_AT_LEAST && all_heard)
+        listened >= MAX_LISTEN_TIME || (listened >= MIN_LISTEN_TIME && all_heard)
     }
 
-    /// Notices who has fallen silent, and takes from the quotas what they are presumed to use.
-    fn look(&mut self, now: Timestamp) {
-        let passed = self.looked.map_or(Duration::ZERO, |looked| now.since(looked));
-        self.looked = Some(now);
-        if passed >= STOOD_STILL {
+    /// Detects silent sources, and takes their presumed use from the quotas.
+    fn update_silent(&mut self, now: Timestamp) {
+        let passed = self.updated.map_or(Duration::ZERO, |updated| now.since(updated));
+        self.updated = Some(now);
+        if passed >= STALL_THRESHOLD {
             return self.resume(now);
         }
         self.sources.retain(|_, source| source.silence(now) < DEPARTED_RETENTION);
         let fallen =
             |(id, source): (&SourceId, &Source)| source.has_fallen_silent(now).then(|| id.clone());
         let fallen: Vec<SourceId> = self.sources.iter().filter_map(fallen).collect();
-        fallen.iter().for_each(|id| self.presume_silent(now, id));
+        fallen.iter().for_each(|id| self.mark_silent(now, id));
         let silent = self.sources.iter().filter(|(_, source)| source.is_silent());
         let silent: Vec<SourceId> = silent.map(|(id, _)| id.clone()).collect();
         silent.iter().for_each(|id| self.presume(now, id, passed.as_secs_f64(), 0.0));
@@ -253,8 +257,8 @@
         self.sources.values_mut().for_each(|source| source.forget(now));
     }
 
-    /// Keeps the part of each quota that silent brokers may use at once. Those that this process fed are unknown
-    /// to the others, which learn of it by its totals.
+    /// Reserves the bursts that silent brokers may use. The other control processes learn of silent
+    /// brokers that were fed here through the totals of this process.
     fn reserve_bursts(&mut self, now: Timestamp, silent: &[SourceId]) {
         let serving = self.serving();
         let mut shares: BTreeMap<TenantName, SilentShares> = BTreeMap::new();
@@ -262,7 +266,7 @@
             let Some(source) = self.sources.get_mut(id) else {
                 continue;
             };
-            for Presumed { tenant, share } in all_presumed(&self.tenants, source, now, serving) {
+            for Presumed { tenant, share } in presumed_use(&self.tenants, source, now, serving) {
                 let known = shares.entry(tenant).or_default();
                 known.all += share;
                 if matches!(id, SourceId::Broker(_)) {
@@ -272,22 +276,22 @@
         }
         for (name, tenant) in &mut self.tenants {
             let share = shares.get(name).copied().unwrap_or_default();
-            let told = tenant.reserve(now, share.fed_here);
+            let reserved = tenant.reserve(now, share.fed_here);
             tenant.reserve(now, share.all);
-            if told > 0.0 {
-                self.own.add(name, 0, told);
+            if reserved > 0.0 {
+                self.own.add(name, 0, reserved);
             }
         }
     }
 
-    /// This process stood still itself: it listens first, as after a start.
+    /// Restarts the listening phase after this process was suspended.
     fn resume(&mut self, now: Timestamp) {
         self.started = Some(now);
         let heard = self.sources.values_mut().filter(|source| !source.is_silent());
         heard.for_each(|source| source.hear(now));
     }
 
-    fn presume_silent(&mut self, now: Timestamp, id: &SourceId) {
+    fn mark_silent(&mut self, now: Timestamp, id: &SourceId) {
         let brokers = self.brokers_behind(id);
         let serving = self.serving();
         let tenants = &self.tenants;
@@ -301,16 +305,15 @@
         self.presume(now, id, span.as_secs_f64(), 1.0);
     }
 
-    /// Takes from the quotas what a silent source is presumed to have used: its share of so many seconds of the
-    /// rate and of so many bursts. What brokers of this
-    /// process are presumed to use is told to the others, who do not know of the silence; each of them
-    /// notices that of a control process.
+    /// Takes the presumed use of a silent source from the quotas: its share of `seconds` of the
+    /// rate and of `bursts` bursts. The presumed use of brokers fed here is sent to the other
+    /// control processes, which detect silent control processes but not silent brokers.
     fn presume(&mut self, now: Timestamp, id: &SourceId, seconds: f64, bursts: f64) {
         let serving = self.serving();
         let Some(source) = self.sources.get_mut(id) else {
             return;
         };
-        let presumed = all_presumed(&self.tenants, source, now, serving);
+        let presumed = presumed_use(&self.tenants, source, now, serving);
         for Presumed { tenant: name, share } in presumed {
             let Some(tenant) = self.tenants.get_mut(&name) else {
                 continue;
@@ -338,8 +341,8 @@
         }
     }
 
-    /// Nothing more is presumed of brokers that were cut off here and are fed elsewhere now.
-    fn settle_moved(&mut self, now: Timestamp) {
+    /// Stops presuming use for silent brokers that are fed elsewhere now.
+    fn release_moved(&mut self, now: Timestamp) {
         let sources = &self.sources;
         let is_heard = |id: SourceId| sources.get(&id).is_some_and(|source| !source.is_silent());
         let fed = self.fed_by.iter().filter(|(broker, control)| {
@@ -373,8 +376,8 @@
     }
 }
 
-/// What a silent source is presumed to use of each quota.
-fn all_presumed(
+/// Presumed use of each quota by a silent source.
+fn presumed_use(
     tenants: &BTreeMap<TenantName, FleetTenant>,
     source: &mut Source,
     now: Timestamp,
@@ -393,8 +396,8 @@
     id: SourceId,
 ) -> &mut Source {
     let silence_limit = match id {
-        SourceId::Broker(_) => SILENCE_OF_BROKER,
-        SourceId::Control(_) => SILENCE_OF_CONTROL,
+        SourceId::Broker(_) => BROKER_SILENCE_TIMEOUT,
+        SourceId::Control(_) => CONTROL_SILENCE_TIMEOUT,
     };
     sources.entry(id).or_insert_with(|| Source::new(now, silence_limit))
 }
--- a/crates/domain/src/quota/limited.rs
+++ b/crates/domain/src/quota/limited.rs
@@ -1,4 +1,4 @@
-//! Which tenants are limited at a broker, for its operators.
+//! Tenants that are currently limited at a broker, for operator logs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use crate::identifiers::TenantName;
 use crate::time::Timestamp;
 
-/// Time without a refusal after which a tenant counts as not limited any more: it bounds what is logged of
-/// a tenant that is refused now and then to two lines in as long.
-const RELIEF_AFTER: Duration = Duration::from_secs(5);
+/// Time without a refusal after which a tenant is no longer limited. Bounds the log output for a
+/// tenant that is refused occasionally to two lines per period.
+const EPISODE_END_AFTER: Duration = Duration::from_secs(5);
 
-/// The tenants that were refused lately.
+/// Tenants with recent refusals.
 #[derive(Debug, Default)]
 pub struct LimitedTenants {
     tenants: BTreeMap<TenantName, Limited>,
@@ -23,19 +23,19 @@
     refused: u64,
 }
 
-/// A tenant is not limited any more.
+/// A finished period in which a tenant was limited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LimitEpisode {
-    /// The tenant.
+    /// The limited tenant.
     pub tenant: TenantName,
-    /// Its requests that were refused meanwhile.
+    /// Requests refused during the episode.
     pub refused: u64,
-    /// From the first refusal to the last.
+    /// Time from the first to the last refusal.
     pub lasted: Duration,
 }
 
 impl LimitedTenants {
-    /// A request of a tenant is refused. True when the tenant was not limited before.
+    /// Records a refused request. Returns true if this starts an episode.
     pub fn record_refusal(&mut self, now: Timestamp, tenant: &TenantName) -> bool {
         if let Some(limited) = self.tenants.get_mut(tenant) {
             limited.last_refusal = now;
@@ -47,9 +47,9 @@
         true
     }
 
-    /// The tenants that are not limited any more, each once.
+    /// Removes and returns the episodes that have ended.
     pub fn take_ended(&mut self, now: Timestamp) -> Vec<LimitEpisode> {
-        let is_over = |limited: &Limited| now.since(limited.last_refusal) >= RELIEF_AFTER;
+        let is_over = |limited: &Limited| now.since(limited.last_refusal) >= EPISODE_END_AFTER;
         let over: Vec<TenantName> = self
             .tenants
             .iter()
--- a/crates/domain/src/quota/mod.rs
+++ b/crates/domain/src/quota/mod.rs
@@ -1,11 +1,11 @@
-//! Quotas of tenants that hold over all brokers together.
+//! Tenant quotas enforced over all brokers together.
 //!
-//! No broker sees more than its own callers, and none is asked on the way of a request. So each broker
-//! counts what its tenants send, reports it to the control process that feeds it, and hears how much of
-//! each quota all brokers together have left; it admits by that, less what it admitted since. The state is
-//! soft: nothing of it is replicated or kept on disk, and without news a broker goes on with the
-//! share that it had.
-//! Why so, and what else was weighed: `docs/design/quotas.md`.
+//! A broker sees only its own callers and consults no other process during a request. Each broker
+//! counts the requests of its tenants, reports the counts to the control process that feeds it, and
+//! receives the remaining level of each quota over all brokers. It admits against that level, less
+//! what it has admitted since. This is soft state, neither replicated nor persisted: without
+//! current levels, a broker enforces the share of the quota that it had. Rationale and
+//! alternatives: `docs/design/quotas.md`.
 
 mod admission;
 mod bucket;
--- a/crates/domain/src/quota/rate.rs
+++ b/crates/domain/src/quota/rate.rs
@@ -1,21 +1,21 @@
-//! A rate that forgets.
+//! Exponentially decaying request rates.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Requests a second, averaged with weights that fall by 1/e in each `memory`.
+/// Requests per second, averaged with weights that decay by 1/e per `memory`.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DecayedRate {
     memory: Duration,
     sum: f64,
     at: Timestamp,
-    /// When requests began to be counted.
+    /// Start of counting.
     since: Timestamp,
 }
 
 impl DecayedRate {
-    /// Nothing counted; what comes from `now` on is.
+    /// An empty rate that counts from `now` on.
     pub(super) fn new(now: Timestamp, memory: Duration) -> Self {
         Self { memory, sum: 0.0, at: now, since: now }
     }
@@ -25,37 +25,37 @@
         self.at = self.at.max(now);
     }
 
-    /// Requests a second.
+    /// Average requests per second.
     pub(super) fn per_second(&self, now: Timestamp) -> f64 {
         self.sum_at(now) / self.memory.as_secs_f64()
     }
 
-    /// Requests a second of the time that was seen, also while that is less than the memory; of a few seconds at
-    /// least.
+    /// Requests per second corrected for a counting time shorter than the memory, which is taken to
+    /// be at least `least`.
     pub(super) fn per_second_seen(&self, now: Timestamp, least: Duration) -> f64 {
         let seen = now.since(self.since).max(least);
-        self.per_second(now) / (1.0 - remembered(seen, self.memory))
+        self.per_second(now) / (1.0 - decay(seen, self.memory))
     }
 
-    /// Requests of the last `memory`, as far as they are remembered.
+    /// Decayed sum of the requests.
     pub(super) fn sum_at(&self, now: Timestamp) -> f64 {
-        self.sum * remembered(now.since(self.at), self.memory)
+        self.sum * decay(now.since(self.at), self.memory)
     }
 }
 
-/// A rate without the requests of the last seconds.
+/// A rate that excludes the most recent requests.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LaggedRate {
     rate: DecayedRate,
     lag: Duration,
-    /// Requests of the present and the last span of one lag, which are not part of the rate yet.
+    /// Requests of the current and the previous lag interval, not part of the rate yet.
     present: f64,
     last: f64,
     began: Timestamp,
 }
 
 impl LaggedRate {
-    /// A rate of which the requests of the last `lag`, or up to two of them, are no part.
+    /// A rate that excludes the requests of the last one to two `lag` intervals.
     pub(super) fn new(now: Timestamp, memory: Duration, lag: Duration) -> Self {
         let rate = DecayedRate::new(now.after(lag), memory);
         Self { rate, lag, present: 0.0, last: 0.0, began: now }
@@ -66,7 +66,7 @@
         self.present += requests;
     }
 
-    /// Requests a second of the time that was seen; of `least` at least.
+    /// Requests per second, see [`DecayedRate::per_second_seen`].
     pub(super) fn per_second_seen(&mut self, now: Timestamp, least: Duration) -> f64 {
         self.pass_on(now);
         self.rate.per_second_seen(now, least)
@@ -88,7 +88,7 @@
     }
 }
 
-/// What is left after `passed` of something that falls by 1/e in each `memory`.
-pub(super) fn remembered(passed: Duration, memory: Duration) -> f64 {
+/// The fraction left after `passed` of a quantity that decays by 1/e per `memory`.
+pub(super) fn decay(passed: Duration, memory: Duration) -> f64 {
     (-passed.as_secs_f64() / memory.as_secs_f64()).exp()
 }
--- a/crates/domain/src/quota/share.rs
+++ b/crates/domain/src/quota/share.rs
@@ -1,38 +1,40 @@
-//! The part of a quota that a broker may use without news of the others.
+//! The share of a quota that a broker may use without current fleet levels.
 
 use std::time::Duration;
 
-use super::rate::remembered;
+use super::rate::decay;
 
-/// Time in which flows are averaged for shares: long enough that a broker with a request in three seconds knows
-/// its part, and short against the time in which callers change their brokers for good.
+/// Time constant of the flow averages behind shares: long enough for a broker with one request in
+/// three seconds to estimate its share, and short compared to the time in which callers move to
+/// other brokers.
 pub(super) const FLOW_MEMORY: Duration = Duration::from_secs(30);
-/// Least time of a flow that says something of it.
-pub(super) const LEAST_FLOW_TIME: Duration = Duration::from_secs(5);
-/// Time in which a share falls back to an equal one (by 1/e) without news. A process that ends closes its
-/// connections and nothing is presumed of it; a broker that is silent for minutes is cut off or on a lost
-/// machine, and what is known of its callers gets old.
+/// Shortest observation time of a flow estimate.
+pub(super) const MIN_FLOW_TIME: Duration = Duration::from_secs(5);
+/// Time constant (1/e) with which a share decays to an equal one without fleet levels. A process
+/// that ends closes its connections, and no use is presumed for it; a broker that is silent for
+/// minutes is partitioned or on a lost machine, and the estimate of its flow becomes outdated.
 const SHARE_MEMORY: Duration = Duration::from_secs(600);
-/// ShareWithoutNews of a quota that is shared equally whatever the flows are, so that callers who turn to another
-/// broker while news are missing find something there.
+/// Share of a quota that is split equally regardless of flows, so that callers who fail over to
+/// another broker during an outage find some quota there.
 const EQUAL_PART: f64 = 0.1;
-/// Requests seen at all brokers for which what was seen counts as much as the share by rates.
+/// Weight of the share by rates, in requests counted at all brokers.
 const PRIOR_REQUESTS: f64 = 20.0;
 
-/// What is known of the flow of a tenant at one broker.
+/// Flow estimates of a tenant at one broker and at all brokers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Flow {
-    /// Requests that came to the broker while those that came to all were known, and these.
+    /// Requests at this broker while the fleet total was known.
     pub(super) seen: f64,
+    /// Requests at all brokers over the same time.
     pub(super) seen_by_all: f64,
-    /// Requests a second that come to the broker.
+    /// Requests per second at this broker.
     pub(super) rate: f64,
-    /// Requests a second that come to all brokers, at most.
+    /// Upper bound of the requests per second at all brokers.
     pub(super) rate_of_all: f64,
 }
 
 impl Flow {
-    /// The share of the broker; those of all brokers add up to about one.
+    /// This broker's share; the shares of all brokers add up to about one.
     pub(super) fn share(&self, brokers: usize) -> f64 {
         let by_rates = (self.rate / self.rate_of_all).min(1.0);
         let seen = self.seen + PRIOR_REQUESTS * by_rates;
@@ -41,9 +43,9 @@
     }
 }
 
-/// A share after some time without news.
-pub(super) fn aged_share(share: f64, without_news: Duration, brokers: usize) -> f64 {
-    let kept = remembered(without_news, SHARE_MEMORY);
+/// A share after some time without fleet levels.
+pub(super) fn aged_share(share: f64, isolated_for: Duration, brokers: usize) -> f64 {
+    let kept = decay(isolated_for, SHARE_MEMORY);
     share * kept + equal_share(brokers) * (1.0 - kept)
 }
 
--- a/crates/domain/src/quota/source.rs
+++ b/crates/domain/src/quota/source.rs
@@ -1,37 +1,37 @@
-//! Who tells a control process of the use of quotas: a broker, or another control process.
+//! A source of usage reports at a control process: a broker or another control process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::rate::DecayedRate;
-use super::share::{FLOW_MEMORY, Flow, LEAST_FLOW_TIME, aged_share};
+use super::share::{FLOW_MEMORY, Flow, MIN_FLOW_TIME, aged_share};
 use crate::identifiers::{BrokerName, TenantName};
 use crate::time::Timestamp;
 
-/// Time without a word after which a broker is presumed to be cut off: it tells something each 0.5 s.
-pub(super) const SILENCE_OF_BROKER: Duration = Duration::from_millis(1_200);
-/// The same of a control process, which tells something each 0.1 s. Until then both sides of a cut use the
-/// whole quota.
-pub(super) const SILENCE_OF_CONTROL: Duration = Duration::from_millis(600);
-/// Silence beyond which less than all of what was used in it still counts when a source is heard again: a quota of the
+/// Time without a message after which a broker is considered silent; it reports every 0.5 s.
+pub(super) const BROKER_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time without a message after which a control process is considered silent; it reports every 0.1
+/// s. Until then both sides of a partition use the whole quota.
+pub(super) const CONTROL_SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Length of a silence beyond which the use reported after it counts only in part: a quota with the
 /// usual window of five seconds has refilled since.
 const REFILL_SPAN: Duration = Duration::from_secs(5);
-/// Requests a second below which a flow is forgotten: a broker's few requests a minute change no share.
-const LEAST_FLOW: f64 = 0.02;
+/// Requests per second below which a flow is dropped: a few requests per minute change no share.
+const MIN_FLOW: f64 = 0.02;
 
-/// What a source told of one tenant.
+/// The flow of one tenant from a source.
 #[derive(Debug)]
 struct Contribution {
     flow: DecayedRate,
-    /// Its share of the quota when it fell silent.
+    /// Share of the quota when the source fell silent.
     share: f64,
-    /// What was presumed of it since.
+    /// Requests presumed since.
     presumed: f64,
-    /// Whether nothing was heard of the tenant since the source fell silent.
-    unheard: bool,
+    /// Whether the tenant is missing from all reports since the source fell silent.
+    unreported: bool,
 }
 
-/// What a source is presumed to have used since the last look.
+/// Presumed use of one quota by a silent source.
 #[derive(Debug)]
 pub(super) struct Presumed {
     pub(super) tenant: TenantName,
@@ -43,21 +43,22 @@
 #[derive(Debug)]
 pub(super) struct Source {
     heard: Timestamp,
-    /// Time without a word after which it is presumed to be cut off.
+    /// Time without a message after which the source is considered silent.
     silence_limit: Duration,
     silent: bool,
-    /// Nothing was ever heard of it: its brokers are presumed to use equal shares of all quotas.
+    /// Whether no message ever arrived: its brokers are presumed to use equal shares of all quotas.
     never_heard: bool,
     contributions: BTreeMap<TenantName, Contribution>,
-    /// Brokers behind it when it fell silent, and those of them that have not come back elsewhere.
+    /// Brokers behind the source when it fell silent.
     brokers: BTreeSet<BrokerName>,
+    /// Number of those brokers that have not reconnected elsewhere.
     missing: usize,
-    /// How long the last silence was, while what it left is still being settled.
+    /// Length of the last silence.
     silence: Duration,
 }
 
 impl Source {
-    /// A source that is to be heard from now on.
+    /// A source that is expected to report from now on.
     pub(super) fn new(now: Timestamp, silence_limit: Duration) -> Self {
         Self {
             heard: now,
@@ -79,12 +80,12 @@
         !self.silent && now.since(self.heard) >= self.silence_limit
     }
 
-    /// For how long it has not been heard.
+    /// Time since the last message.
     pub(super) fn silence(&self, now: Timestamp) -> Duration {
         now.since(self.heard)
     }
 
-    /// It is heard, or given time until it is presumed to be cut off.
+    /// Records a message, or restarts the silence timeout.
     pub(super) fn hear(&mut self, now: Timestamp) {
         if self.silent {
             self.silence = now.since(self.heard);
@@ -94,13 +95,13 @@
         self.never_heard = false;
     }
 
-    /// The share of every quota that its brokers are presumed to use of whom nothing was ever heard.
+    /// Share of every quota presumed for the brokers of a source that never reported.
     pub(super) fn unknown_share(&self, serving: usize) -> f64 {
         if self.never_heard { self.missing as f64 / serving as f64 } else { 0.0 }
     }
 
-    /// It is presumed to be cut off, with these brokers behind it. `fleet` gives the requests of a tenant at
-    /// all brokers in the memory of flows, and the rate from which on brokers are told of it.
+    /// Marks the source as silent, with `brokers` behind it. `fleet` gives the decayed sum of a
+    /// tenant's requests at all brokers, and the rate above which its level is sent.
     pub(super) fn fall_silent(
         &mut self,
         now: Timestamp,
@@ -113,45 +114,44 @@
         self.missing = brokers.len();
         self.brokers = brokers;
         let behind = self.missing.max(1) as f64;
-        self.contributions
-            .retain(|_, contribution| contribution.flow.per_second(now) >= LEAST_FLOW);
+        self.contributions.retain(|_, contribution| contribution.flow.per_second(now) >= MIN_FLOW);
         for (tenant, contribution) in &mut self.contributions {
-            // As each of its brokers reckons, of its part of the flow.
+            // Mirrors the estimate that each of its brokers makes from its part of the flow.
             let own = contribution.flow.sum_at(heard) / behind;
             let (fleet, least) = fleet(tenant);
             let flow = Flow {
                 seen: own,
                 seen_by_all: fleet,
-                rate: contribution.flow.per_second_seen(heard, LEAST_FLOW_TIME) / behind,
+                rate: contribution.flow.per_second_seen(heard, MIN_FLOW_TIME) / behind,
                 rate_of_all: least.max(fleet / FLOW_MEMORY.as_secs_f64()),
             };
             contribution.share = flow.share(serving) * behind;
-            contribution.unheard = true;
+            contribution.unreported = true;
         }
     }
 
-    /// Some of its brokers have come back elsewhere.
+    /// Excludes brokers that have reconnected elsewhere.
     pub(super) fn leave_out(&mut self, is_elsewhere: impl Fn(&BrokerName) -> bool) {
         self.missing = self.brokers.iter().filter(|broker| !is_elsewhere(broker)).count();
     }
 
-    /// Counts requests of a tenant that the source told of; gives what had been presumed of it, which is to be
-    /// given back.
+    /// Counts reported requests of a tenant. Returns the presumed requests, which the caller has to
+    /// return to the quota.
     pub(super) fn count(&mut self, now: Timestamp, tenant: &TenantName, arrived: f64) -> f64 {
-        let matters = self.unrefilled_part();
+        let matters = self.unrefilled_fraction();
         let contribution = self.contribution(now, tenant);
         contribution.flow.add(now, arrived);
-        contribution.unheard = false;
+        contribution.unreported = false;
         std::mem::take(&mut contribution.presumed) * matters
     }
 
-    /// The part of a growing total of a tenant that still matters: all of it, but after a silence.
-    pub(super) fn unrefilled_part_of(&self, tenant: &TenantName) -> f64 {
-        let unheard = self.contributions.get(tenant).is_none_or(|known| known.unheard);
-        if unheard { self.unrefilled_part() } else { 1.0 }
+    /// Fraction of the increase of a tenant's total that still counts: less than 1 after a silence.
+    pub(super) fn unrefilled_fraction_of(&self, tenant: &TenantName) -> f64 {
+        let unreported = self.contributions.get(tenant).is_none_or(|known| known.unreported);
+        if unreported { self.unrefilled_fraction() } else { 1.0 }
     }
 
-    /// What it is presumed to use, with `serving` brokers in all.
+    /// Presumed use of each quota, with `serving` brokers in total.
     pub(super) fn presume(
         &mut self,
         now: Timestamp,
@@ -166,30 +166,30 @@
         })
     }
 
-    /// Notes what was presumed of a tenant.
+    /// Records presumed requests of a tenant.
     pub(super) fn note_presumed(&mut self, now: Timestamp, tenant: &TenantName, requests: f64) {
         self.contribution(now, tenant).presumed += requests;
     }
 
-    /// What was presumed of it lately, by tenant: it is told by others now.
+    /// Removes and returns the presumed requests by tenant, since other sources report them now.
     pub(super) fn take_presumed(&mut self, now: Timestamp) -> Vec<(TenantName, f64)> {
         self.silence = now.since(self.heard);
-        let matters = self.unrefilled_part();
+        let matters = self.unrefilled_fraction();
         let presumed = |(tenant, contribution): (&TenantName, &mut Contribution)| {
             (tenant.clone(), std::mem::take(&mut contribution.presumed) * matters)
         };
         self.contributions.iter_mut().map(presumed).collect()
     }
 
-    /// Forgets flows that have ended.
+    /// Drops flows that have ended.
     pub(super) fn forget(&mut self, now: Timestamp) {
         self.contributions.retain(|_, contribution| {
-            contribution.unheard || contribution.flow.per_second(now) >= LEAST_FLOW
+            contribution.unreported || contribution.flow.per_second(now) >= MIN_FLOW
         });
     }
 
-    /// The part of what was used during the last silence that still matters.
-    fn unrefilled_part(&self) -> f64 {
+    /// Fraction of the use during the last silence that the quota has not refilled since.
+    fn unrefilled_fraction(&self) -> f64 {
         let silence = self.silence.as_secs_f64();
         (REFILL_SPAN.as_secs_f64() / silence.max(REFILL_SPAN.as_secs_f64())).min(1.0)
     }
@@ -199,7 +199,7 @@
             flow: DecayedRate::new(now, FLOW_MEMORY),
             share: 0.0,
             presumed: 0.0,
-            unheard: false,
+            unreported: false,
         })
     }
 }
--- a/crates/domain/src/quota/usage.rs
+++ b/crates/domain/src/quota/usage.rs
@@ -1,68 +1,68 @@
-//! What brokers and control processes tell each other of the use of quotas.
+//! Messages about quota use between brokers and control processes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identifiers::TenantName;
 
-/// Requests of a tenant.
+/// Requests of a tenant in one report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantUse {
     /// The tenant.
     pub tenant: TenantName,
-    /// Requests that came with its keys; where the report is of a longer time than usual (a link was lost), as
-    /// many as come in 0.3 s.
+    /// Requests received with its keys. In a report over a longer time than usual (after a lost
+    /// link), scaled down to 0.3 s.
     pub arrived: u32,
-    /// All requests that its quota admitted since the last report.
+    /// All requests admitted since the last report.
     pub admitted: u32,
 }
 
-/// What a broker counted since the last report that was acknowledged.
+/// The counts of a broker since its last report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Number of the report, which the acknowledgement repeats.
+    /// Sequence number of the report, echoed by the acknowledgement.
     pub sequence: u64,
-    /// Tenants that sent something.
+    /// Tenants with requests.
     pub uses: Vec<TenantUse>,
 }
 
-/// What the brokers of one control process used, told to the other control processes.
+/// Quota use of the brokers of one control process, sent to the other control processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerUsage {
-    /// Number of the sender's run, drawn at its start: totals of another run start at nothing.
+    /// Run number of the sender, drawn at its start; the totals of each run start at zero.
     pub run: u64,
-    /// Totals of the run: of tenants whose totals changed, and of a tenth of all in turn.
+    /// Totals of the tenants that changed, and of a tenth of all tenants in turn.
     pub totals: Vec<TenantTotal>,
 }
 
-/// Requests of a tenant since the start of a control process.
+/// Total requests of a tenant since the start of a control process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantTotal {
     /// The tenant.
     pub tenant: TenantName,
-    /// Requests that came with its keys.
+    /// Requests received with its keys.
     pub arrived: u64,
-    /// Those of them that its quota admitted.
+    /// Requests admitted.
     pub admitted: u64,
 }
 
-/// How much of a quota all brokers together have left.
+/// The remaining level of a quota over all brokers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLevel {
     /// The tenant.
     pub tenant: TenantName,
-    /// Thousandths of the requests that it may send at once; negative where more were admitted than its
-    /// quota allows.
+    /// Requests that may be admitted at once, in thousandths; negative if more were admitted than
+    /// the quota allows.
     pub level_thousandths: i64,
-    /// Requests that came with its keys at all brokers, in a thousand seconds.
+    /// Requests received with its keys at all brokers, per 1,000 seconds.
     pub arrivals_per_1000_s: u64,
 }
 
-/// What a control process tells the brokers that it feeds.
+/// Fleet levels that a control process sends to the brokers it feeds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetUsage {
-    /// The last report of this broker that is contained; 0 for none.
+    /// Sequence number of the last report of this broker that is included; 0 for none.
     pub heard: u64,
-    /// The most pressing tenants near their quotas, and once each that has come away from it. One that is left
-    /// out stands as it was told before.
+    /// The most urgent tenants near their quotas, and once each tenant that is no longer near its
+    /// quota. The last level of an omitted tenant stays valid.
     pub levels: Vec<TenantLevel>,
 }
