--- a/crates/domain/src/crash_suspects/canary_gate.rs
+++ b/crates/domain/src/crash_suspects/canary_gate.rs
@@ -1,24 +1,24 @@
-//! How many leaves one request may be under way at, until one of them has replied.
+//! Limits the leaves at which one request may be in flight until the first of them has replied.
 
-/// Leaves that a request goes to first where any request may crash leaves. One of them is often slow or stopped for a
-/// moment; that two are is rare.
+/// Leaves that receive a request first while its route sends canaries. A single leaf is often slow
+/// or paused for a moment; two at the same time are rare.
 const CANARIES: usize = 2;
 
-/// How carefully a request is sent.
+/// How far the leaves at which a request may be in flight are limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Caution {
-    /// To all leaves at once that it needs.
+    /// To all required leaves at once.
     None,
-    /// To few leaves first.
+    /// To a few leaves first, and to the others after the first reply.
     Canary,
     /// To one leaf at a time.
     OneAtATime,
-    /// To one leaf at all, until it has replied.
+    /// To a single leaf, and to others only after it has replied.
     Trial,
 }
 
 impl Caution {
-    /// In a few words, as logs say it.
+    /// The mode as written to logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -29,52 +29,53 @@
     }
 }
 
-/// Whether the request may be sent to one more leaf.
+/// Whether a request may be sent to one more leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
-    /// Now.
+    /// It may be sent now.
     Send,
-    /// Perhaps, once a leaf has replied or ended.
+    /// It may be allowed after a leaf has replied or terminated.
     Wait,
-    /// Never again.
+    /// It must not be sent any more.
     Never,
 }
 
-/// Decides for all parts, retries and hedges of one request whether it may be sent to one more leaf. As soon as a
-/// leaf has ended under it and none has replied, it goes to one leaf at a time.
+/// Decides for all parts, retries and hedges of one request whether it may be sent to one more
+/// leaf. After a leaf has terminated with the request in flight, and until one has replied, the
+/// request goes to one leaf at a time.
 #[derive(Debug)]
 pub struct CanaryGate {
     caution: Caution,
-    /// Leaves that it may go to first, while the caution is that of a canary.
+    /// Concurrent leaves allowed under [`Caution::Canary`].
     canaries: usize,
-    /// Leaves that it is under way at.
-    open: usize,
-    /// Whether it was sent to a leaf.
+    /// Number of attempts in flight.
+    in_flight: usize,
+    /// Whether it has been sent to any leaf.
     sent: bool,
-    /// Whether it was under way at two leaves or more since it was last under way at none.
-    crowded: bool,
-    /// Leaves that ended under it.
+    /// Whether two or more attempts were in flight at once since there was last none in flight.
+    concurrent: bool,
+    /// Leaves that terminated with the request in flight.
     ended: u32,
     replied: bool,
     refused: bool,
 }
 
 impl CanaryGate {
-    /// It was sent to nobody yet.
+    /// A gate for a request that is not sent yet.
     pub fn new(caution: Caution) -> Self {
         Self {
             caution,
             canaries: CANARIES,
-            open: 0,
+            in_flight: 0,
             sent: false,
-            crowded: false,
+            concurrent: false,
             ended: 0,
             replied: false,
             refused: false,
         }
     }
 
-    /// At how many leaves it may be under way now; none for any number.
+    /// Limit of concurrent attempts; none for no limit.
     pub fn in_flight_limit(&self) -> Option<usize> {
         match self.caution {
             _ if self.replied => None,
@@ -84,9 +85,9 @@
         }
     }
 
-    /// How many leaves more it may go to now; none for any number.
+    /// Further attempts allowed now; none for no limit.
     pub fn available(&self) -> Option<usize> {
-        Some(self.in_flight_limit()?.saturating_sub(self.open))
+        Some(self.in_flight_limit()?.saturating_sub(self.in_flight))
     }
 
     /// Whether it may be sent to one more leaf.
@@ -99,66 +100,67 @@
         }
     }
 
-    /// The leaves that it went to first have had the time that leaves usually need: it goes to one more. All at
-    /// once would do most harm where leaves crash slowly.
+    /// Allows one more canary after the first ones have exceeded the usual latency. Releasing all
+    /// leaves at once would do most harm where leaves crash slowly.
     pub fn allow_extra_canary(&mut self) {
         self.canaries += 1;
     }
 
-    /// Whether it is refused otherwise, and goes to one leaf at all until that has replied.
+    /// Whether this is a trial of an otherwise refused request.
     pub fn is_trial(&self) -> bool {
         self.caution == Caution::Trial
     }
 
-    /// It is sent to one more leaf.
+    /// Records that the request is sent to one more leaf.
     pub fn sent(&mut self) {
         self.sent = true;
-        self.open += 1;
-        self.crowded |= self.open > 1;
+        self.in_flight += 1;
+        self.concurrent |= self.in_flight > 1;
     }
 
-    /// An attempt is over, and a leaf has replied that has survived it.
+    /// Records the end of an attempt with a reply of a leaf that survived it.
     pub fn replied(&mut self) {
         self.over();
         self.replied = true;
     }
 
-    /// An attempt is over that tells nothing of the request.
+    /// Records the end of an attempt that says nothing about the request.
     pub fn over(&mut self) {
-        self.open = self.open.saturating_sub(1);
-        self.crowded &= self.open > 0;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.concurrent &= self.in_flight > 0;
     }
 
-    /// An attempt is over because its leaf has ended; gives whether the request was under way there alone.
+    /// Records the end of an attempt by termination of its leaf. Returns whether the request was in
+    /// flight at that leaf alone.
     pub fn leaf_ended(&mut self) -> bool {
-        let alone = !self.crowded;
+        let alone = !self.concurrent;
         self.ended += 1;
         self.caution = self.caution.max(Caution::OneAtATime);
         self.over();
         alone
     }
 
-    /// It is to be sent to nobody any more.
+    /// Refuses further attempts, unless a leaf has replied.
     pub fn refuse(&mut self) {
         self.refused = !self.replied;
     }
 
-    /// Whether it has not been under way at two leaves or more since it was last under way at none.
+    /// Whether no two attempts were in flight at once since there was last none in flight.
     pub fn is_alone(&self) -> bool {
-        !self.crowded
+        !self.concurrent
     }
 
-    /// Whether a leaf has replied that has survived it.
+    /// Whether a leaf that survived the request has replied.
     pub fn is_answered(&self) -> bool {
         self.replied
     }
 
-    /// Leaves that ended under it.
+    /// Number of leaves that terminated with the request in flight.
     pub fn ended(&self) -> u32 {
         self.ended
     }
 
-    /// Whether leaves have ended under it, and none has replied.
+    /// Whether leaves terminated with the request in flight and none has replied.
     pub fn is_suspected(&self) -> bool {
         self.ended > 0 && !self.replied
     }
--- a/crates/domain/src/crash_suspects/canary_room.rs
+++ b/crates/domain/src/crash_suspects/canary_room.rs
@@ -1,26 +1,26 @@
-//! Whether the requests of a route have the time to go to few leaves first.
+//! Whether the latency target of a route leaves time to send canaries first.
 
 use std::time::Duration;
 
-/// Share by which each answer moves what is held for the median: one answer in a few waits for a leaf that has stopped
-/// for a moment, and says nothing of the others.
+/// Relative step by which each answer moves the median estimate. A median ignores the few answers
+/// that wait for a leaf that is paused for a moment.
 const STEP: f64 = 0.1;
-/// Most that half of the answers of a route may take, as a part of its target latency: the leaves that are asked first
-/// need less than half as long again.
-const MOST_TAKEN: f64 = 0.5;
-/// Least target latency that leaves time while nothing is known of the route: twice what a leaf in another region
-/// needs, the way included.
-const LEAST_UNMEASURED_TARGET: Duration = Duration::from_millis(200);
+/// Maximum median latency as a fraction of the target latency: the canaries need less than half of
+/// the median in addition.
+const MAX_MEDIAN_SHARE: f64 = 0.5;
+/// Minimum target latency for canaries on a route without latency data: twice the latency of a leaf
+/// in another region, including the network.
+const MIN_TARGET_WITHOUT_DATA: Duration = Duration::from_millis(200);
 
-/// What the answers of one route take from when all leaves are asked.
+/// Latency of the answers of one route, from the time when all leaves have been asked.
 #[derive(Debug, Default)]
 pub struct CanaryHeadroom {
-    /// About their median, in seconds; none before the first.
+    /// Estimated median in seconds; none before the first answer.
     median: Option<f64>,
 }
 
 impl CanaryHeadroom {
-    /// An answer was complete enough to leave so long after all its leaves had been asked.
+    /// Records the time from asking all leaves until the answer was complete enough to be sent.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.median = Some(match self.median {
@@ -30,11 +30,11 @@
         });
     }
 
-    /// Whether an answer can be in time though few leaves are asked before the others.
+    /// Whether answers can meet the `target` latency although canaries are asked first.
     pub fn is_enough(&self, target: Duration) -> bool {
         match self.median {
-            Some(median) => median <= target.as_secs_f64() * MOST_TAKEN,
-            None => target >= LEAST_UNMEASURED_TARGET,
+            Some(median) => median <= target.as_secs_f64() * MAX_MEDIAN_SHARE,
+            None => target >= MIN_TARGET_WITHOUT_DATA,
         }
     }
 }
--- a/crates/domain/src/crash_suspects/fold.rs
+++ b/crates/domain/src/crash_suspects/fold.rs
@@ -1,5 +1,5 @@
-//! Findings on their way to the brokers that one control process feeds: those of these brokers, and suspicions that
-//! came by the log.
+//! Findings that a control process relays to the brokers it feeds: those of these brokers, and
+//! suspicions received through the log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,37 +7,37 @@
 use super::{CrashFinding, RequestDigest, Verdict};
 use crate::time::Timestamp;
 
-/// Findings that are kept, as many as a broker keeps.
-const MOST_FINDINGS: usize = 1024;
-/// Leaves that have to have ended under a request before anybody is told.
-const LEAST_LEAVES: u32 = 2;
+/// Maximum number of findings, equal to the limit of a broker.
+const MAX_FINDINGS: usize = 1024;
+/// Leaves that must have terminated under a request before its finding is relayed.
+const MIN_LEAVES: u32 = 2;
 
-/// A finding that lasts.
+/// A finding and its expiry.
 #[derive(Debug)]
 struct Kept {
     finding: CrashFinding,
     until: Timestamp,
 }
 
-/// The findings that last.
+/// The unexpired findings by request digest.
 #[derive(Debug, Default)]
 pub struct FindingStore {
     kept: BTreeMap<RequestDigest, Kept>,
 }
 
 impl FindingStore {
-    /// A broker reports; gives what the others are to be told.
+    /// Records findings of a broker. Returns those to relay to the other brokers.
     pub fn report(&mut self, now: Timestamp, findings: Vec<CrashFinding>) -> Vec<CrashFinding> {
         self.kept.retain(|_, kept| now < kept.until);
         findings.into_iter().filter(|finding| self.take(now, finding)).collect()
     }
 
-    /// Nothing is held against a request any more.
+    /// Removes the finding on a request.
     pub fn forget(&mut self, digest: RequestDigest) {
         self.kept.remove(&digest);
     }
 
-    /// What lasts, for a broker that has just come.
+    /// The unexpired findings with their remaining validity, for a broker that has just connected.
     pub fn current(&self, now: Timestamp) -> Vec<CrashFinding> {
         let lasting = self.kept.values().filter(|kept| now < kept.until);
         let left = |kept: &Kept| CrashFinding {
@@ -47,17 +47,18 @@
         lasting.map(left).collect()
     }
 
-    /// Keeps a finding that says more than the one that is held.
+    /// Stores a finding if it is stronger or lasts longer than the stored one. Returns whether it
+    /// is to be relayed.
     fn take(&mut self, now: Timestamp, finding: &CrashFinding) -> bool {
         if finding.verdict == Verdict::Cleared {
             return self.kept.remove(&finding.digest).is_some();
         }
-        if finding.leaves < LEAST_LEAVES {
+        if finding.leaves < MIN_LEAVES {
             return false;
         }
         let until = now.after(Duration::from_millis(finding.for_ms.into()));
         if let Some(kept) = self.kept.get(&finding.digest) {
-            // Two brokers come to the same verdict at about the same time.
+            // Two brokers may reach the same verdict at about the same time.
             let half = now.after(Duration::from_millis((finding.for_ms / 2).into()));
             let says_more = finding.verdict > kept.finding.verdict
                 || finding.verdict == kept.finding.verdict && kept.until < half;
@@ -65,7 +66,7 @@
                 return false;
             }
         }
-        if self.kept.len() >= MOST_FINDINGS && !self.kept.contains_key(&finding.digest) {
+        if self.kept.len() >= MAX_FINDINGS && !self.kept.contains_key(&finding.digest) {
             return false;
         }
         self.kept.insert(finding.digest, Kept { finding: finding.clone(), until });
--- a/crates/domain/src/crash_suspects/given_up.rs
+++ b/crates/domain/src/crash_suspects/given_up.rs
@@ -1,4 +1,4 @@
-//! Requests that were given up while they were under way at leaves, which may end under them all the same.
+//! Attempts that were abandoned while in flight. Their leaves may still terminate because of them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,77 +7,77 @@
 use crate::identifiers::{LeafIdentity, ServiceName};
 use crate::time::Timestamp;
 
-/// Time after a request was given up in which the end of its leaf is held against it: longer than a leaf works on most
-/// requests.
-const GIVEN_UP_LIFE: Duration = Duration::from_secs(1);
-/// Requests that are kept.
-const MOST_GIVEN_UP: usize = 256;
+/// Time after an abandoned attempt in which the termination of its leaf counts against the request:
+/// longer than a leaf works on most requests.
+const ABANDONED_TTL: Duration = Duration::from_secs(1);
+/// Maximum number of abandoned attempts that are kept.
+const MAX_ABANDONED: usize = 256;
 
-/// A request that was under way at a leaf.
+/// An attempt in flight at a leaf.
 #[derive(Debug, Clone)]
 pub struct InFlightAttempt {
-    /// The request's id, as logs give it.
+    /// Id of the request, as written to logs.
     pub request: String,
-    /// What is the same in all tries of the request.
+    /// Digest of the request, equal in all its attempts.
     pub digest: RequestDigest,
     /// Name of its route.
     pub route: String,
     /// Service of the leaf.
     pub service: ServiceName,
-    /// The leaf.
+    /// Identity of the leaf.
     pub leaf: LeafIdentity,
-    /// When the request was sent to it.
+    /// When the request was sent to the leaf.
     pub sent: Timestamp,
-    /// Whether the request was under way at no other leaf meanwhile.
+    /// Whether the request was in flight at no other leaf meanwhile.
     pub alone: bool,
 }
 
-/// A request that was given up, and when.
+/// An abandoned attempt and the time when it was abandoned.
 #[derive(Debug)]
-struct GivenUp {
+struct Abandoned {
     at: Timestamp,
-    /// Whether its leaf was looked at since.
+    /// Whether its leaf has been checked since.
     is_checked: bool,
     under_way: InFlightAttempt,
 }
 
-/// The requests that were given up lately.
+/// Recently abandoned attempts.
 #[derive(Debug, Default)]
 pub struct AbandonedRequests {
-    kept: Vec<GivenUp>,
+    kept: Vec<Abandoned>,
 }
 
 impl AbandonedRequests {
-    /// A request was given up while it was under way.
+    /// Records an abandoned attempt.
     pub fn add(&mut self, now: Timestamp, under_way: InFlightAttempt) {
         self.forget(now);
-        if self.kept.len() < MOST_GIVEN_UP {
-            self.kept.push(GivenUp { at: now, is_checked: false, under_way });
+        if self.kept.len() < MAX_ABANDONED {
+            self.kept.push(Abandoned { at: now, is_checked: false, under_way });
         }
     }
 
-    /// The leaves that were not looked at since.
+    /// The leaves that have not been checked since, which count as checked afterwards.
     pub fn take_unchecked(&mut self) -> BTreeSet<LeafIdentity> {
-        let unchecked = self.kept.iter_mut().filter(|given_up| !given_up.is_checked);
-        let leaf = |given_up: &mut GivenUp| {
-            given_up.is_checked = true;
-            given_up.under_way.leaf.clone()
+        let unchecked = self.kept.iter_mut().filter(|abandoned| !abandoned.is_checked);
+        let leaf = |abandoned: &mut Abandoned| {
+            abandoned.is_checked = true;
+            abandoned.under_way.leaf.clone()
         };
         unchecked.map(leaf).collect()
     }
 
-    /// What was given up at a leaf, which is not kept any more then.
+    /// Removes and returns the abandoned attempts at a leaf.
     pub fn take_at(&mut self, now: Timestamp, leaf: &LeafIdentity) -> Vec<InFlightAttempt> {
         self.forget(now);
         let (there, elsewhere) = std::mem::take(&mut self.kept)
             .into_iter()
-            .partition(|given_up| given_up.under_way.leaf == *leaf);
+            .partition(|abandoned| abandoned.under_way.leaf == *leaf);
         self.kept = elsewhere;
-        let there: Vec<GivenUp> = there;
-        there.into_iter().map(|given_up| given_up.under_way).collect()
+        let there: Vec<Abandoned> = there;
+        there.into_iter().map(|abandoned| abandoned.under_way).collect()
     }
 
     fn forget(&mut self, now: Timestamp) {
-        self.kept.retain(|given_up| now.since(given_up.at) < GIVEN_UP_LIFE);
+        self.kept.retain(|abandoned| now.since(abandoned.at) < ABANDONED_TTL);
     }
 }
--- a/crates/domain/src/crash_suspects/mod.rs
+++ b/crates/domain/src/crash_suspects/mod.rs
@@ -1,13 +1,13 @@
-//! Requests under which leaves crash.
+//! Detection and quarantine of requests that crash leaves.
 //!
-//! A request that crashes every leaf which runs it takes one leaf of each shard with it, and its retries the
-//! rest. All leaves that end do so with requests under way, most of them innocent ones. So a broker keeps, by a
-//! digest of the request, under which requests leaves have ended that nobody has answered since: they are
-//! *suspected*. A suspected request goes to one leaf alone, as a canary. An answer clears it; if that leaf ends
-//! too, the request is *refused* by all brokers: the control tier keeps that in its replicated state, tells each
-//! broker, and grants a few trials at one leaf, one at a time, so that a wrong verdict heals. Suspicions are not
-//! replicated, and end by themselves.
-//! Why so, and what else was weighed: `docs/design/crashing-requests.md`.
+//! A request that crashes every leaf that runs it takes down one leaf of each shard, and its
+//! retries take down the rest. A leaf that terminates has many requests in flight, most of them
+//! harmless. A broker therefore records, by request digest, the requests that were in flight at
+//! terminated leaves and have not been answered since: these are *suspected*. A suspected request
+//! is sent to a single leaf as a canary. A reply clears it; if that leaf terminates too, all
+//! brokers *refuse* the request. The control tier replicates refusals, distributes them to the
+//! brokers, and grants single trials at one leaf, so that a wrong verdict is corrected. Suspicions
+//! are not replicated and expire. Rationale and alternatives: `docs/design/crashing-requests.md`.
 
 mod canary_gate;
 mod canary_room;
@@ -26,16 +26,16 @@
 pub use given_up::{AbandonedRequests, InFlightAttempt};
 pub use suspects::{CrashSuspects, LeafEnd, SendPolicy};
 
-/// Time for which a request stays refused of which nothing more is heard.
+/// Time after which a refusal without further findings expires.
 pub const REFUSAL_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Whether a leaf that replies with this status has worked on the request and survived it. One that fails or refuses may
-/// have answered for its queue.
+/// Whether a reply with this HTTP status shows that the leaf processed the request and survived. A
+/// leaf that fails or refuses may have answered without processing the request.
 pub fn is_survived(status: u16) -> bool {
     (200..=499).contains(&status) && !matches!(status, 408 | 421 | 429)
 }
 
-/// Digest of what leaves see of a request that is the same in all its tries.
+/// Digest of the parts of a request that leaves see and that are equal in all its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(pub u64);
 
@@ -45,19 +45,19 @@
     }
 }
 
-/// What is held of a request.
+/// The verdict on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Leaves have ended under it: it is sent to one leaf first.
+    /// Leaves terminated while it was in flight: it is sent to one leaf at a time.
     Suspected,
-    /// A leaf ended under it alone, after another one: it is sent to nobody.
+    /// A second leaf terminated while the request was in flight there alone: it is not sent.
     Refused,
-    /// A leaf replied to it after it was refused, or an operator released it.
+    /// A leaf replied to it after a refusal, or an operator released it.
     Cleared,
 }
 
 impl Verdict {
-    /// In one word, as logs say it.
+    /// The verdict as one word, as written to logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Suspected => "suspected",
@@ -67,17 +67,17 @@
     }
 }
 
-/// What a broker found of a request, as brokers tell each other.
+/// A finding of a broker on a request, as exchanged between brokers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashFinding {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
     /// Name of its route.
     pub route: String,
-    /// Leaves that have ended under it, as far as is known.
+    /// Known number of leaves that terminated while it was in flight.
     pub leaves: u32,
-    /// What is held of it.
+    /// The verdict.
     pub verdict: Verdict,
-    /// For how many milliseconds from now.
+    /// Validity of the finding in milliseconds from now.
     pub for_ms: u32,
 }
