--- a/crates/domain/src/rollout/evidence.rs
+++ b/crates/domain/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What brokers report of the answers of two versions.
+//! Outcomes of requests to two versions, as reported by brokers.
 
 use std::collections::BTreeMap;
 
@@ -8,35 +8,35 @@
 use crate::forwarding::Distance;
 use crate::identifiers::{LeafIdentity, Revision, ServiceName};
 
-/// Requests that are alike: their latencies can be compared.
+/// A group of requests with comparable latencies.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stratum {
-    /// Name of their route.
+    /// Route name.
     pub route: String,
-    /// How far the leaf was.
+    /// Distance of the leaf.
     pub distance: Distance,
 }
 
-/// What became of requests to leaves.
+/// Counted outcomes of requests to leaves.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeCounts {
-    /// Requests that were answered, by how long that took.
+    /// Answered requests by latency.
     pub answered: BTreeMap<LatencyBucket, u32>,
-    /// Requests whose answer tells of a failure of the leaf, or that the leaf lost.
+    /// Requests that the leaf failed or lost.
     pub failed: u32,
-    /// Requests that were given up before an answer, by how long it had not come.
+    /// Requests abandoned before an answer, by the time waited.
     pub given_up: BTreeMap<LatencyBucket, u32>,
 }
 
 impl OutcomeCounts {
-    /// Adds what another one counted.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         add_all(&mut self.answered, &other.answered);
         self.failed += other.failed;
         add_all(&mut self.given_up, &other.given_up);
     }
 
-    /// Requests that were answered.
+    /// Number of answered requests.
     pub fn answers(&self) -> u32 {
         self.answered.values().sum()
     }
@@ -48,25 +48,25 @@
     }
 }
 
-/// What became of requests to each leaf of a version: one leaf that ails is no fault of its version.
+/// Outcomes by leaf of a version, to distinguish a single faulty leaf from a faulty version.
 pub type LeafOutcomes = BTreeMap<LeafIdentity, OutcomeCounts>;
 
-/// What became of the requests for a service while a roll-out of it is under way. A leaf whose version is not the one
-/// that is rolled out is a present one.
+/// Outcomes of the requests for a service during a rollout. Leaves of any version other than the
+/// target are present leaves.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Requests for the service.
+    /// Number of requests for the service.
     pub requests: u64,
-    /// Requests that were sent to the version that is rolled out.
+    /// Number of requests sent to the target version.
     pub exposed: u64,
-    /// Those to present leaves.
+    /// Outcomes at present leaves.
     pub present: BTreeMap<Stratum, OutcomeCounts>,
-    /// Those to leaves of the version.
+    /// Outcomes at leaves of the target version.
     pub target: BTreeMap<Stratum, LeafOutcomes>,
 }
 
 impl Evidence {
-    /// Adds what another one counted.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: &Self) {
         self.requests += other.requests;
         self.exposed += other.exposed;
@@ -82,14 +82,14 @@
     }
 }
 
-/// What came to light of one roll-out since the last report. A report that is lost is not sent again: the next ones
-/// tell as much.
+/// Evidence on one rollout since the last report. Lost reports are not sent again, since later
+/// reports carry equivalent evidence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// The service.
+    /// The service of the rollout.
     pub service: ServiceName,
-    /// The revision that began the roll-out.
+    /// The catalog revision that began the rollout.
     pub begun: Revision,
-    /// What came to light.
+    /// The evidence since the last report.
     pub evidence: Evidence,
 }
--- a/crates/domain/src/rollout/judgement.rs
+++ b/crates/domain/src/rollout/judgement.rs
@@ -1,8 +1,9 @@
-//! Whether a version is sound, by its answers beside those of present leaves.
+//! Evaluation of a version by comparing its answers to those of present leaves.
 //!
-//! An answer is bad when it tells of a failure, or took several times as long as half of the answers of present leaves
-//! to like requests. What ails leaves of both versions (a zone, a burst, a slow shard) makes as large a share of both
-//! bad, which Fisher's exact test takes into account, also where counts are small.
+//! An answer is bad if it reports a failure, or if its latency is several times the median of
+//! present leaves in the same stratum. A cause that affects leaves of both versions (a zone outage,
+//! a burst, a slow shard) makes the same share of both bad. Fisher's exact test accounts for that,
+//! also with small counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,37 +14,37 @@
 use super::stage::RollBackCause;
 use crate::identifiers::LeafIdentity;
 
-/// How many times longer than usual an answer takes that is slow. Leaves that have just started are up to twice as
-/// slow, and a first request opens a connection.
+/// Latency of a slow answer as a multiple of the median. Leaves that have just started are up to
+/// twice as slow, and a first request opens a connection.
 const SLOW_FACTOR: f64 = 4.0;
-/// Answers of present leaves by which it is known what is usual.
-const KNOWN_ANSWERS: u32 = 10;
-
-/// Probability below which chance is no explanation: it is asked some hundred times in a roll-out.
-const CERTAIN: f64 = 1e-4;
-/// The same of what is left when the worst leaf of a version is left out, as a check on it.
-const CONFIRMED: f64 = 1e-4;
-/// The same of a route on which a version is not taken for sound.
-const SUSPECT: f64 = 0.01;
-/// Answers of a version of which only one leaf was heard, before that leaf counts for its version: it may ail by
-/// itself, and others may be starting.
-const ANSWERS_OF_ONE_LEAF: u64 = 20;
-/// Share of bad answers beyond that of present leaves which callers would notice.
-const NOTICEABLE: f64 = 0.1;
-
-/// Share of bad answers beyond that of present leaves which a sound version does not have.
-const TOLERABLE: f64 = 0.15;
-/// Probability at which a version that is worse than tolerable passes for a sound one.
-const LET_THROUGH: f64 = 0.05;
-
-/// Answers, and how many of them were bad.
+/// Minimum answers of present leaves for a median.
+const MIN_MEDIAN_ANSWERS: u32 = 10;
+
+/// Significance level for a rollback. It is low because a rollout runs some hundred tests.
+const ROLLBACK_LEVEL: f64 = 1e-4;
+/// Significance level of the confirming test without the worst leaf of the version.
+const CONFIRMATION_LEVEL: f64 = 1e-4;
+/// Significance level at which a single route keeps a version from being healthy.
+const SUSPICION_LEVEL: f64 = 0.01;
+/// Minimum answers of a version's only responding leaf before it counts for the version: that leaf
+/// alone may be faulty, and others may be starting.
+const MIN_SINGLE_LEAF_ANSWERS: u64 = 20;
+/// Excess share of bad answers over present leaves that callers would notice.
+const NOTICEABLE_EXCESS: f64 = 0.1;
+
+/// Excess share of bad answers over present leaves that a healthy version stays below.
+const TOLERABLE_EXCESS: f64 = 0.15;
+/// Probability that a version with an intolerable excess is evaluated as healthy.
+const FALSE_PASS_RATE: f64 = 0.05;
+
+/// Number of answers, and of the bad ones among them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
-    /// All of them.
+    /// All answers.
     pub all: u64,
-    /// Those that told of failures.
+    /// Answers that reported failures.
     pub failed: u64,
-    /// Those that were slow.
+    /// Slow answers, including those that never came.
     pub slow: u64,
 }
 
@@ -59,7 +60,7 @@
     fn add(&mut self, tally: &OutcomeCounts, slow_from: Option<LatencyBucket>) {
         let is_slow = |bucket: &LatencyBucket| slow_from.is_some_and(|from| *bucket >= from);
         let slow: u32 = count(tally.answered.iter().filter(|(bucket, _)| is_slow(bucket)));
-        // One that was given up early says nothing.
+        // A request that was abandoned early says nothing about latency.
         let never_came: u32 = count(tally.given_up.iter().filter(|(bucket, _)| is_slow(bucket)));
         self.all += u64::from(tally.answers() + tally.failed + never_came);
         self.failed += u64::from(tally.failed);
@@ -71,18 +72,19 @@
     counts.map(|(_, count)| count).sum()
 }
 
-/// The answers of two versions to like requests.
+/// Answers of present leaves and of the target version to comparable requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// Those of present leaves.
+    /// Answers of present leaves.
     pub present: AnswerCounts,
-    /// Those of the version that is rolled out.
+    /// Answers of the target version.
     pub target: AnswerCounts,
 }
 
 impl Comparison {
-    /// Probability of as many bad answers of the version, or more, if it is no worse than present leaves.
-    fn chance(&self) -> f64 {
+    /// The p-value: probability of at least as many bad answers of the target version if it is no
+    /// worse than present leaves.
+    fn p_value(&self) -> f64 {
         let (all, bad) =
             (self.present.all + self.target.all, self.present.bad() + self.target.bad());
         if self.target.bad() == 0 || all == 0 {
@@ -92,19 +94,19 @@
         drawn.map_or(1.0, |drawn| drawn.sf(self.target.bad() - 1))
     }
 
-    fn is_worse(&self, chance: f64) -> bool {
-        let beyond = self.target.bad_share() - self.present.bad_share();
-        beyond >= NOTICEABLE && self.chance() < chance
+    fn is_worse(&self, level: f64) -> bool {
+        let excess = self.target.bad_share() - self.present.bad_share();
+        excess >= NOTICEABLE_EXCESS && self.p_value() < level
     }
 
-    /// Whether a version that is worse than tolerable would hardly have had so few bad answers.
+    /// Whether a version with an intolerable excess would be unlikely to have so few bad answers.
     fn is_no_worse(&self) -> bool {
-        let intolerable = (self.present.bad_share() + TOLERABLE).min(1.0);
+        let intolerable = (self.present.bad_share() + TOLERABLE_EXCESS).min(1.0);
         let worse = Binomial::new(intolerable, self.target.all);
-        worse.is_ok_and(|worse| worse.cdf(self.target.bad()) < LET_THROUGH)
+        worse.is_ok_and(|worse| worse.cdf(self.target.bad()) < FALSE_PASS_RATE)
     }
 
-    /// Of failures and slowness, what makes more of the difference.
+    /// The larger contribution to the difference: failures or slowness.
     fn cause(&self) -> RollBackCause {
         let share = |part: u64, counts: AnswerCounts| part as f64 / counts.all.max(1) as f64;
         let failing =
@@ -114,18 +116,19 @@
     }
 }
 
-/// What the answers say of a version.
+/// The result of an evaluation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// There are too few of them, or they are contradictory.
+    /// There are too few answers, or they are contradictory.
     Inconclusive,
-    /// It is no worse than present leaves.
+    /// The version is no worse than present leaves.
     Healthy,
-    /// It is worse.
+    /// The version is worse than present leaves.
     Regressed(RollBackCause),
 }
 
-/// Judges a version by all answers so far: over all routes, and on each, since a fault may show on one only.
+/// Evaluates a version by all answers so far: over all routes, and on each route, since a fault may
+/// affect only one.
 pub fn evaluate(evidence: &Evidence) -> Verdict {
     let routes: BTreeSet<&str> =
         evidence.target.keys().map(|stratum| stratum.route.as_str()).collect();
@@ -134,31 +137,32 @@
     if let Some(cause) = bad {
         return Verdict::Regressed(cause);
     }
-    let suspect = on_routes.into_iter().any(|route| compare(evidence, route).is_worse(SUSPECT));
+    let suspect =
+        on_routes.into_iter().any(|route| compare(evidence, route).is_worse(SUSPICION_LEVEL));
     match !suspect && compare(evidence, None).is_no_worse() {
         true => Verdict::Healthy,
         false => Verdict::Inconclusive,
     }
 }
 
-/// The answers to requests of a route, or of all.
+/// Compares the answers on a route, or on all routes.
 pub fn compare(evidence: &Evidence, route: Option<&str>) -> Comparison {
     compare_without(evidence, route, None)
 }
 
 fn bad(evidence: &Evidence, route: Option<&str>) -> Option<RollBackCause> {
     let whole = compare(evidence, route);
-    if !whole.is_worse(CERTAIN) {
+    if !whole.is_worse(ROLLBACK_LEVEL) {
         return None;
     }
     let is_bad = match worst_leaf(evidence, route) {
-        Some(worst) => compare_without(evidence, route, Some(worst)).is_worse(CONFIRMED),
-        None => whole.target.all >= ANSWERS_OF_ONE_LEAF,
+        Some(worst) => compare_without(evidence, route, Some(worst)).is_worse(CONFIRMATION_LEVEL),
+        None => whole.target.all >= MIN_SINGLE_LEAF_ANSWERS,
     };
     is_bad.then(|| whole.cause())
 }
 
-/// Of several leaves of the version, the one with the most bad answers to requests of a route.
+/// The leaf of the version with the most bad answers on a route; none if there is only one leaf.
 fn worst_leaf<'evidence>(
     evidence: &'evidence Evidence,
     route: Option<&str>,
@@ -201,10 +205,10 @@
     route.is_none_or(|route| stratum.route == route)
 }
 
-/// The class of latencies from which on an answer is slow; none while it is not known what is usual.
+/// The latency bucket from which on an answer is slow; none while the median is unknown.
 fn slow_from(present: &OutcomeCounts) -> Option<LatencyBucket> {
     let answers = present.answers();
-    if answers < KNOWN_ANSWERS {
+    if answers < MIN_MEDIAN_ANSWERS {
         return None;
     }
     let mut counted = 0;
--- a/crates/domain/src/rollout/mod.rs
+++ b/crates/domain/src/rollout/mod.rs
@@ -1,12 +1,13 @@
-//! Roll-outs: the requests of a service move to leaves of another software version, step by step.
+//! Rollouts: gradual migration of a service's requests to leaves of another software version.
 //!
-//! An operator orders a [`Rollout`] of a version within a time. A small share of the requests goes to the version
-//! first. Brokers report what its leaves answer and how long that takes, beside what the other leaves do over the
-//! same time ([`Evidence`]); [`evaluate`] compares the two. A version that fails or is several times slower is taken
-//! back at once and for good. One that is sound gets all requests, once every broker has moved.
+//! An operator orders a [`Rollout`] of a version within a given time. A small share of the requests
+//! goes to the version first (the trial). Brokers report the outcomes and latencies of its leaves
+//! and of the other leaves over the same time ([`Evidence`]); [`evaluate`] compares them. A version
+//! that fails or is several times slower is rolled back at once and stays so. A healthy version
+//! receives all requests, once every broker has applied that stage.
 //!
-//! Orders and their stages are part of the replicated catalog; evidence is replicated beside it, so that a judgement is
-//! the same at every control process and survives all of them.
+//! Orders and stages are part of the replicated catalog. Evidence is replicated beside it, so that
+//! every control process reaches the same decision and none is lost with a process.
 
 mod evidence;
 mod gathered;
--- a/crates/domain/src/rollout/order.rs
+++ b/crates/domain/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What an operator orders.
+//! Rollout orders of operators.
 
 use std::time::Duration;
 
@@ -7,62 +7,63 @@
 use crate::identifiers::{ServiceName, SoftwareVersion};
 use crate::routes::PartsPerMillion;
 
-/// Time within which an equal order is the same one, sent again because its answer was lost. Operators repeat an order
-/// for seconds; the clocks of the machines that take them may be some seconds apart.
-const REPEAT_SPAN: Duration = Duration::from_secs(60);
-/// Longest time that a roll-out may take.
-const LONGEST: Duration = Duration::from_secs(7 * 24 * 3_600);
+/// Time within which an equal order counts as a retry after a lost reply. Clients retry for
+/// seconds, and the clocks of the machines that accept orders may differ by some seconds.
+const RETRY_WINDOW: Duration = Duration::from_secs(60);
+/// Maximum duration of a rollout.
+const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3_600);
 
-/// How many requests may reach a version that is not known to be sound, over all brokers: a share of the
-/// requests for its service, and some more.
+/// Limit of the requests, over all brokers, that may reach a version before it is known to be
+/// healthy: a share of the requests for its service, plus a constant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExposureLimit {
-    /// The share.
+    /// The share of the requests for the service.
     pub share: PartsPerMillion,
-    /// How many more.
+    /// Additional requests.
     pub slack: u32,
 }
 
 impl Default for ExposureLimit {
-    /// A tenth, and as many more as a judgement needs where requests are few.
+    /// A tenth, plus the requests that an evaluation needs on a service with little traffic.
     fn default() -> Self {
         Self { share: PartsPerMillion(100_000), slack: 50 }
     }
 }
 
-/// An operator's order.
+/// An operator's order to roll out a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The service whose requests are to move.
+    /// The service whose requests move to the target version.
     pub service: ServiceName,
-    /// The version whose leaves they are to move to.
+    /// The target version.
     pub target: SoftwareVersion,
-    /// Milliseconds within which they are to have moved.
+    /// Time in milliseconds within which all requests are to move.
     pub duration_ms: u64,
-    /// What a version that is not known to be sound may get.
+    /// Limit of the requests to a version that is not known to be healthy.
     pub limit: ExposureLimit,
-    /// When the order was taken, in milliseconds since 1970 by the clock of the process that took it.
+    /// When the order was accepted, in milliseconds since 1970 by the clock of the accepting
+    /// process.
     pub ordered_at_ms: u64,
 }
 
 impl RolloutOrder {
-    /// Time within which the requests are to have moved.
+    /// Time within which all requests are to move.
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
 
-    /// Whether this is `earlier` once more.
+    /// Whether this is a retry of `earlier`.
     pub fn repeats(&self, earlier: &Self) -> bool {
         let apart = self.ordered_at_ms.abs_diff(earlier.ordered_at_ms);
         let same = self.service == earlier.service
             && self.target == earlier.target
             && self.duration_ms == earlier.duration_ms;
-        same && u128::from(apart) <= REPEAT_SPAN.as_millis()
+        same && u128::from(apart) <= RETRY_WINDOW.as_millis()
     }
 
-    /// Whether the time and the version make sense.
+    /// Whether the duration and the version are valid.
     pub(super) fn is_usable(&self) -> bool {
-        let known_time = self.duration_ms > 0 && self.duration() <= LONGEST;
-        known_time && !self.target.as_str().is_empty()
+        let valid_duration = self.duration_ms > 0 && self.duration() <= MAX_DURATION;
+        valid_duration && !self.target.as_str().is_empty()
     }
 }
--- a/crates/domain/src/rollout/preference.rs
+++ b/crates/domain/src/rollout/preference.rs
@@ -1,4 +1,4 @@
-//! Which versions a request may go to.
+//! Version rules: which versions a request may be sent to.
 
 use std::collections::BTreeSet;
 
@@ -8,19 +8,19 @@
 use crate::identifiers::SoftwareVersion;
 use crate::routes::PartsPerMillion;
 
-/// Leaves by their version.
+/// Selects leaves by version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionRule {
-    /// All of them.
+    /// Leaves of all versions.
     Any,
-    /// Those of this version.
+    /// Leaves of this version.
     Only(SoftwareVersion),
-    /// Those of other versions than these.
+    /// Leaves of all versions except these.
     AllBut(BTreeSet<SoftwareVersion>),
 }
 
 impl VersionRule {
-    /// Whether leaves of a version are among them.
+    /// Whether leaves of `version` are selected.
     pub fn allows(&self, version: &SoftwareVersion) -> bool {
         match self {
             Self::Any => true,
@@ -30,56 +30,57 @@
     }
 }
 
-/// Rules in the order in which they are tried: the next one counts where no leaf of the one before can be asked.
+/// Rules in order of preference: the second applies if no leaf selected by the first is available.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionRules {
-    /// What is tried first.
+    /// The preferred rule.
     pub first: VersionRule,
-    /// What is tried then.
+    /// The fallback rule.
     pub then: Option<VersionRule>,
 }
 
 impl VersionRules {
-    /// One rule, and nothing else.
+    /// A single rule without a fallback.
     pub fn only(rule: VersionRule) -> Self {
         Self { first: rule, then: None }
     }
 
-    /// The rules in order.
+    /// The rules in order of preference.
     pub fn in_order(&self) -> impl Iterator<Item = &VersionRule> {
         std::iter::once(&self.first).chain(&self.then)
     }
 }
 
-/// What is known of a request and of the broker that has it.
+/// Properties of an attempt and of its broker on which version rules depend.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RuleContext {
-    /// Whether no leaf was asked for the request yet.
+    /// Whether this is the first attempt of the request.
     pub is_first: bool,
-    /// A number from 0 to 1, drawn once for the request.
+    /// A random number from 0 to 1, drawn once per request.
     pub draw: f64,
-    /// Whether control confirmed lately what this broker holds.
+    /// Whether control has recently confirmed that this broker's catalog is current.
     pub is_fresh: bool,
 }
 
-/// Which leaves of a service a request may go to while `rollout` is the newest of the service, and these versions were
-/// taken back before it.
+/// The version rules for an attempt while `rollout` is the newest rollout of the service and the
+/// versions in `taken_back` were rolled back before it.
 ///
-/// In a trial the lot of each request decides, so that the share holds over all brokers together, however few
-/// requests each of them has. Hedges and retries go to present leaves: a request meets the version once at most, and
-/// has a sound leaf to turn to. A broker that does not know the newest word asks no leaf of a version on trial, which may
-/// have been taken back. One that has moved stays with the version: present leaves may have stopped meanwhile.
+/// In a trial, a random draw per request decides, so that the share holds over all brokers, however
+/// few requests each of them has. Hedges and retries go to present leaves: a request reaches the
+/// target version at most once, and can fall back to a healthy leaf. A broker whose catalog may be
+/// stale sends nothing to a version on trial, which may have been rolled back. A broker that has
+/// moved stays with the target version, since present leaves may have stopped.
 pub fn rules(
     rollout: &Rollout,
     taken_back: &BTreeSet<SoftwareVersion>,
-    standing: RuleContext,
+    context: RuleContext,
 ) -> VersionRules {
     let target = || VersionRule::Only(rollout.order.target.clone());
     let barred = || taken_back.iter().chain([&rollout.order.target]).cloned().collect();
     let present = || VersionRule::AllBut(barred());
     match rollout.stage {
-        RolloutStage::Trial { share } if standing.is_first && standing.is_fresh => {
-            match is_drawn(share, standing.draw) {
+        RolloutStage::Trial { share } if context.is_first && context.is_fresh => {
+            match is_drawn(share, context.draw) {
                 true => VersionRules { first: target(), then: Some(present()) },
                 false => VersionRules::only(present()),
             }
--- a/crates/domain/src/rollout/rollouts.rs
+++ b/crates/domain/src/rollout/rollouts.rs
@@ -1,4 +1,4 @@
-//! The newest roll-out of each service.
+//! The newest rollout of each service.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,47 +11,47 @@
 use crate::identifiers::{Revision, ServiceName, SoftwareVersion};
 use crate::routes::PartsPerMillion;
 
-/// Orders that are remembered to tell repeats of them: far more than operators give within the time of a repeat.
-const REMEMBERED_ORDERS: usize = 64;
-/// Versions of a service that are remembered as taken back: more than run beside each other.
+/// Number of orders kept to detect retries: far more than operators issue within the retry window.
+const ORDER_LIMIT: usize = 64;
+/// Rolled-back versions kept per service: more than run at the same time.
 const TAKEN_BACK_LIMIT: usize = 16;
-/// Services of which a roll-out is kept.
+/// Maximum number of services with a rollout.
 const ROLLOUT_LIMIT: usize = 4_096;
 
 quick_error! {
-    /// Why an order or a step is refused; each message names the remedy.
+    /// Why an order or a stage change is refused; each message names the remedy.
     #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
     pub enum RolloutError {
-        /// Another roll-out of the service is under way.
+        /// Another rollout of the service is in progress.
         UnderWay(service: ServiceName, target: SoftwareVersion) {
             display("a roll-out of version {target} of service {service} is under way: wait for its end, see SHOW ROLLOUTS")
         }
-        /// The time or the version makes no sense.
+        /// The duration or the version is invalid.
         Unusable(service: ServiceName) {
             display("the roll-out of service {service} names no version, or a time that is not from 1 ms to 7 days: name both")
         }
-        /// No further roll-out can be kept.
+        /// The limit of services with a rollout is reached.
         TooMany(limit: u64) {
             display("roll-outs of {limit} services are kept: no other service can have one")
         }
-        /// The roll-out has ended, or has come further.
+        /// The rollout has ended, or is already in a later stage.
         MovedOn(service: ServiceName) {
             display("the roll-out of service {service} has moved on: look at it with SHOW ROLLOUTS")
         }
     }
 }
 
-/// The roll-outs of all services.
+/// The rollouts of all services.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollouts {
     by_service: BTreeMap<ServiceName, Rollout>,
-    /// The last orders, oldest first.
+    /// The most recent orders, oldest first.
     orders: VecDeque<RolloutOrder>,
-    /// Versions of a service that were taken back, and not ordered again since.
+    /// Rolled-back versions by service, except those ordered again since.
     taken_back: BTreeMap<ServiceName, BTreeSet<SoftwareVersion>>,
 }
 
-/// Roll-outs as releases laid them out that forgot a version which was taken back with the next order.
+/// The stored format of earlier releases, which dropped a rolled-back version with the next order.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormerRollouts {
     by_service: BTreeMap<ServiceName, Rollout>,
@@ -72,30 +72,30 @@
 }
 
 impl Rollouts {
-    /// The newest roll-out of a service.
+    /// The newest rollout of a service.
     pub fn get(&self, service: &ServiceName) -> Option<&Rollout> {
         self.by_service.get(service)
     }
 
-    /// The newest roll-out of each service.
+    /// The newest rollout of each service, ordered by service.
     pub fn all(&self) -> impl Iterator<Item = &Rollout> {
         self.by_service.values()
     }
 
-    /// Whether there is none.
+    /// Whether no service has a rollout.
     pub fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
 
-    /// Whether an order was taken, now or before, under whatever stage its roll-out is.
+    /// Whether an order, or one that it retries, was accepted, whatever the stage of its rollout.
     pub fn took(&self, order: &RolloutOrder) -> bool {
         self.orders.iter().any(|earlier| order.repeats(earlier))
     }
 
-    /// Begins a roll-out at a revision. An order that was taken before changes nothing.
+    /// Begins a rollout at a revision. A retried order changes nothing.
     ///
     /// # Errors
-    /// A [`RolloutError`]; nothing is changed then.
+    /// A [`RolloutError`], in which case nothing is changed.
     pub fn begin(&mut self, order: &RolloutOrder, revision: Revision) -> Result<(), RolloutError> {
         if self.took(order) {
             return Ok(());
@@ -118,16 +118,17 @@
             versions.remove(&order.target);
         }
         self.orders.push_back(order.clone());
-        if self.orders.len() > REMEMBERED_ORDERS {
+        if self.orders.len() > ORDER_LIMIT {
             self.orders.pop_front();
         }
         Ok(())
     }
 
-    /// A roll-out goes on.
+    /// Moves a rollout to another stage.
     ///
     /// # Errors
-    /// [`RolloutError::MovedOn`] where it is not the newest of its service, or no way leads to the stage.
+    /// [`RolloutError::MovedOn`] if it is not the newest rollout of its service, or if the
+    /// transition is not allowed.
     pub fn advance(&mut self, step: &RolloutAdvance) -> Result<(), RolloutError> {
         let rollout = self.by_service.get_mut(&step.service);
         let rollout = rollout.filter(|rollout| rollout.begun == step.begun);
@@ -142,22 +143,22 @@
         Ok(())
     }
 
-    /// Which leaves of a service a request may go to.
-    pub fn rules(&self, service: &ServiceName, standing: RuleContext) -> VersionRules {
+    /// The version rules for an attempt at a service.
+    pub fn rules(&self, service: &ServiceName, context: RuleContext) -> VersionRules {
         let none = BTreeSet::new();
         let taken_back = self.taken_back.get(service).unwrap_or(&none);
         match self.by_service.get(service) {
-            Some(rollout) => rules(rollout, taken_back, standing),
+            Some(rollout) => rules(rollout, taken_back, context),
             None => VersionRules::only(VersionRule::Any),
         }
     }
 
-    /// Whether a version of a service was taken back, and not ordered again since.
+    /// Whether a version of a service was rolled back and not ordered again since.
     pub fn is_taken_back(&self, service: &ServiceName, version: &SoftwareVersion) -> bool {
         self.taken_back.get(service).is_some_and(|versions| versions.contains(version))
     }
 
-    /// Remembers a version that was taken back: its leaves may run on while another one is ordered.
+    /// Records a rolled-back version: its leaves may still run while another version is ordered.
     fn note_end(&mut self, rollout: &Rollout) {
         if !matches!(rollout.stage, RolloutStage::RolledBack(_)) {
             return;
@@ -169,8 +170,8 @@
     }
 }
 
-/// The share with which a trial begins, while nothing is known of how many requests there are: what is within the
-/// limit whatever comes.
+/// The share with which a trial begins, while the request rate is unknown. It keeps within the
+/// limit at any rate.
 pub(super) fn first_share(limit: &ExposureLimit) -> PartsPerMillion {
     PartsPerMillion(limit.share.0 / 2)
 }
--- a/crates/domain/src/rollout/stage.rs
+++ b/crates/domain/src/rollout/stage.rs
@@ -1,4 +1,4 @@
-//! How far a roll-out has come.
+//! Stages of a rollout.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,19 +7,19 @@
 use crate::identifiers::{Revision, ServiceName};
 use crate::routes::PartsPerMillion;
 
-/// Why a version was taken back.
+/// Why a version was rolled back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RollBackCause {
     /// Its leaves fail, and those of other versions do not.
     Failing,
     /// Its leaves are several times slower than those of other versions.
     Slow,
-    /// Nothing showed in time that it is sound.
+    /// It was not shown to be healthy within the duration of the rollout.
     NotProven,
 }
 
 impl RollBackCause {
-    /// In one word, as logs and tables say it.
+    /// One word, as written to logs and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Failing => "failing",
@@ -29,29 +29,29 @@
     }
 }
 
-/// The stage of a roll-out.
+/// The stage of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutStage {
-    /// This share of the requests goes to the version.
+    /// A share of the requests goes to the target version.
     Trial {
-        /// The share.
+        /// Share of the requests.
         share: PartsPerMillion,
     },
-    /// All requests go to the version; leaves of other versions are still there.
+    /// All requests go to the target version; leaves of other versions still run.
     Moving,
-    /// All requests have moved: leaves of other versions may stop.
+    /// All requests have moved; leaves of other versions may stop.
     Completed,
-    /// No request goes to the version.
+    /// No request goes to the target version.
     RolledBack(RollBackCause),
 }
 
 impl RolloutStage {
-    /// Whether it may still change.
+    /// Whether the rollout is in progress, that is, not in a final stage.
     pub fn is_under_way(self) -> bool {
         matches!(self, Self::Trial { .. } | Self::Moving)
     }
 
-    /// Whether a roll-out may go on to `next`. No way leads back from an outcome.
+    /// Whether the transition to `next` is allowed. Final stages allow none.
     fn leads_to(self, next: Self) -> bool {
         match self {
             Self::Trial { .. } => !matches!(next, Self::Completed),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The share of the requests that goes to a version on trial; none at other stages.
+    /// The share of the requests in a trial; none in other stages.
     pub fn trial_share(self) -> Option<PartsPerMillion> {
         match self {
             Self::Trial { share } => Some(share),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Why the version was taken back; none at other stages.
+    /// Why the version was rolled back; none in other stages.
     pub fn roll_back_cause(self) -> Option<RollBackCause> {
         match self {
             Self::RolledBack(cause) => Some(cause),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// In one word, as logs and tables say it.
+    /// One word, as written to logs and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Trial { .. } => "trial",
@@ -87,24 +87,24 @@
     }
 }
 
-/// A roll-out.
+/// A rollout and its stage.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// What was ordered.
+    /// The order that began it.
     pub order: RolloutOrder,
-    /// The revision that began it, which tells it from others of the service.
+    /// The catalog revision that began it, unique among the rollouts of the service.
     pub begun: Revision,
-    /// How far it has come.
+    /// The current stage.
     pub stage: RolloutStage,
 }
 
 impl Rollout {
-    /// What tells it from all others.
+    /// The unique key of the rollout.
     pub fn key(&self) -> RolloutKey {
         (self.order.service.clone(), self.begun)
     }
 
-    /// Goes on to another stage; false where no way leads there.
+    /// Moves to another stage. Returns false if the transition is not allowed.
     pub(super) fn advance(&mut self, next: RolloutStage) -> bool {
         let allowed = self.stage.leads_to(next) && self.stage != next;
         if allowed {
@@ -114,13 +114,13 @@
     }
 }
 
-/// A roll-out goes on to another stage.
+/// A stage change of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutAdvance {
-    /// The service.
+    /// The service of the rollout.
     pub service: ServiceName,
-    /// The revision that began the roll-out.
+    /// The catalog revision that began the rollout.
     pub begun: Revision,
-    /// The stage.
+    /// The new stage.
     pub stage: RolloutStage,
 }
