--- a/crates/domain/tests/limited_tenants.rs
+++ b/crates/domain/tests/limited_tenants.rs
@@ -1,5 +1,5 @@
-//! Which tenants are told of as limited: once when it begins and once when it ends, however often a tenant
-//! is refused.
+//! A limited tenant is reported once at the start and once at the end of an episode, however often
+//! it is refused.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn tenant_refused_a_thousand_times_is_told_of_twice() {
+fn tenant_refused_a_thousand_times_is_reported_twice() {
     let (mut limited, tenant) = (LimitedTenants::default(), TenantName::new("t"));
     let begun = (0..1_000).filter(|turn| limited.record_refusal(at(turn * 10), &tenant)).count();
     assert_eq!(begun, 1);
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn tenants_are_told_of_each_for_itself() {
+fn tenants_are_reported_separately() {
     let mut limited = LimitedTenants::default();
     let [first, second] = ["a", "b"].map(TenantName::new);
     assert!(limited.record_refusal(at(0), &first));
     assert!(limited.record_refusal(at(3_000), &second));
     let relieved: Vec<TenantName> =
-        limited.take_ended(at(6_000)).into_iter().map(|relief| relief.tenant).collect();
-    assert!(limited.record_refusal(at(6_000), &first), "it is limited anew");
+        limited.take_ended(at(6_000)).into_iter().map(|episode| episode.tenant).collect();
+    assert!(limited.record_refusal(at(6_000), &first), "a new episode starts");
     assert_eq!(relieved, [first]);
 }
--- a/crates/domain/tests/quota_cost.rs
+++ b/crates/domain/tests/quota_cost.rs
@@ -1,4 +1,4 @@
-//! What quotas cost with tenants by the thousand.
+//! Message sizes of quota reports and levels with thousands of tenants.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use gingerkeel_domain::routes::TenantQuota;
 use gingerkeel_domain::time::Timestamp;
 
-/// What control may cost a broker (CONTRIBUTING.md).
+/// Budget for control traffic per broker in bytes per second (CONTRIBUTING.md).
 const BYTES_PER_S: usize = 13_000;
 const TENANTS: usize = 10_000;
-/// Tenants that send more than their quotas at the same time.
+/// Tenants that exceed their quotas at the same time.
 const HOT: usize = 500;
 const ROUNDS_PER_S: u64 = 10;
 
@@ -22,8 +22,8 @@
     Timestamp::from_micros(round * 1_000_000 / ROUNDS_PER_S)
 }
 
-/// A report of 25 tenants, which is what comes to one of 1,600 brokers of 400,000 requests a second in a round, as
-/// if all were of different ones.
+/// A report with 25 tenants: the requests per round at one of 1,600 brokers under 400,000 requests
+/// per second, as if each came from a different tenant.
 fn report(round: u64) -> UsageReport {
     let first = (round as usize * 25) % HOT;
     let uses = (first..first + 25).map(|number| TenantUse {
@@ -37,31 +37,37 @@
 #[test]
 fn messages_stay_small_and_each_tenant_is_told_of_in_time() {
     let quota = TenantQuota { requests_per_1000_s: 10_000, burst_thousandths: 10_000 };
-    let mut fold = UsageAggregator::new(1);
-    fold.configure(at(0), (0..TENANTS).map(|number| (tenant(number), quota)));
-    fold.set_members(at(0), 1_600, std::iter::empty());
+    let mut aggregator = UsageAggregator::new(1);
+    aggregator.configure(at(0), (0..TENANTS).map(|number| (tenant(number), quota)));
+    aggregator.set_members(at(0), 1_600, std::iter::empty());
     let broker = BrokerName::new("broker");
     let mut bytes = 0;
-    let mut told: BTreeMap<TenantName, u64> = BTreeMap::new();
+    let mut sent: BTreeMap<TenantName, u64> = BTreeMap::new();
     let mut longest = 0;
     for round in 0..200 {
         let report = report(round);
-        fold.record_report(at(round), &broker, BrokerRun(1), &report);
+        aggregator.record_report(at(round), &broker, BrokerRun(1), &report);
         let usage = FleetUsage {
-            heard: fold.last_sequence(&broker),
-            levels: fold.broker_levels(at(round)),
+            heard: aggregator.last_sequence(&broker),
+            levels: aggregator.broker_levels(at(round)),
         };
         assert!(usage.levels.len() <= 32);
         bytes += postcard::to_allocvec(&report).expect("a report").len();
         bytes += postcard::to_allocvec(&usage).expect("levels").len();
         for level in usage.levels {
-            let before = told.insert(level.tenant, round);
+            let before = sent.insert(level.tenant, round);
             longest = longest.max(before.map_or(0, |before| round - before));
         }
     }
     let per_second = bytes / 200 * ROUNDS_PER_S as usize;
-    println!("{per_second} bytes a second, {} told, at most each {longest} rounds", told.len());
+    println!(
+        "{per_second} bytes per second, {} tenants, longest interval {longest} rounds",
+        sent.len()
+    );
     assert!(per_second <= BYTES_PER_S);
-    assert_eq!(told.len(), HOT, "only tenants that send something are told of");
-    assert!(longest <= 20, "a level counts for two seconds; one was told after {longest} rounds");
+    assert_eq!(sent.len(), HOT, "levels are sent only for tenants with requests");
+    assert!(
+        longest <= 20,
+        "a level is valid for two seconds; one was repeated after {longest} rounds"
+    );
 }
--- a/crates/domain/tests/quota_faults.rs
+++ b/crates/domain/tests/quota_faults.rs
@@ -1,16 +1,17 @@
-//! Quotas over all brokers together, with one failure each.
+//! Quotas over a fleet of brokers under a single failure.
 
 mod quota_fleet;
 
 use quota_fleet::{Fleet, Load, SETTINGS, Spread, Unreliable, quota};
 use rstest::rstest;
 
-/// Requests a second that the calm tenant sends, of a quota of 40.
+/// Requests per second of the calm tenant, with a quota of 40.
 const CALM_PER_S: f64 = 24.0;
-/// When callers come: processes that start together know each other by then.
+/// Start of the load; by then the processes have discovered each other.
 const OPEN_MS: u64 = 3_000;
-/// When the hot tenant begins to send six times its quota, and when the failure comes.
+/// When the hot tenant begins to send six times its quota.
 const HOT_MS: u64 = 10_000;
+/// When the failure occurs.
 const FAILURE_MS: u64 = 15_000;
 
 fn load(tenant: &'static str, per_second: f64, spread: Spread, from_ms: u64) -> Load {
@@ -26,7 +27,7 @@
     fleet
 }
 
-/// The same with one tenant that is hot from [`HOT_MS`] on, until shortly before the failure.
+/// The same fleet with one tenant that is hot from [`HOT_MS`] on, run until the failure.
 fn hot_fleet(rate: f64, spread: Spread) -> Fleet {
     let mut fleet = calm_fleet(rate, spread);
     fleet.load(load("hot", rate * 5.4, spread, HOT_MS));
@@ -34,8 +35,9 @@
     fleet
 }
 
-/// No window had more than is tolerated, and from the failure on the hot tenant got `least` of its quota and
-/// the calm one was refused at most `refused`.
+/// Checks that no window exceeded the tolerance, and that after the failure the hot tenant got at
+/// least the fraction `least` of its quota and at most `refused` of the calm tenant's requests were
+/// refused.
 fn check(fleet: &Fleet, least: f64, refused: f64) {
     let (hot, calm) = (fleet.ledger("hot"), fleet.ledger("calm"));
     let until = fleet.now_ms();
@@ -60,8 +62,8 @@
     check(&fleet, 0.7, 0.08);
 }
 
-/// A broker that is cut off sees a request of the calm tenant in three seconds, and cannot tell chance from a
-/// tenant that turns hot: it refuses some.
+/// An isolated broker receives one request of the calm tenant in three seconds, and cannot
+/// distinguish random variation from a rising load: it refuses some requests.
 #[rstest]
 fn a_third_of_the_brokers_is_cut_off(
     #[values(1.0, 40.0, 400.0)] rate: f64,
@@ -105,7 +107,7 @@
 }
 
 #[rstest]
-fn a_control_process_is_killed_and_its_brokers_turn_to_others(
+fn a_control_process_is_killed_and_its_brokers_reconnect_to_others(
     #[values(1.0, 40.0, 400.0)] rate: f64,
     #[values(Spread::One, Spread::Zipf, Spread::Even)] spread: Spread,
 ) {
@@ -147,7 +149,7 @@
 #[case::shortly(700, 0.95, 0.001)]
 #[case::for_seconds(2_000, 0.85, 0.001)]
 #[case::for_long(8_000, 0.85, 0.001)]
-fn a_broker_stands_still_and_wakes(
+fn a_broker_is_suspended_and_resumes(
     #[values(1.0, 40.0, 400.0)] rate: f64,
     #[values(Spread::Zipf, Spread::Even)] spread: Spread,
     #[case] for_ms: u64,
@@ -160,13 +162,13 @@
     check(&fleet, least, refused);
 }
 
-/// The broker that stands still had all callers, who turn to another one. It might as well be cut off and go on:
-/// its share is kept for it, and they are refused what they would need of it.
+/// The suspended broker had all callers, who fail over to another one. Since it could also be
+/// partitioned and still serving, its share stays reserved, and the callers are refused that share.
 #[rstest]
 #[case::shortly(700, 0.95, 0.001)]
 #[case::for_seconds(2_000, 0.85, 0.05)]
 #[case::for_long(8_000, 0.6, 0.4)]
-fn the_only_broker_of_a_tenant_stands_still(
+fn the_only_broker_of_a_tenant_is_suspended(
     #[values(1.0, 40.0, 400.0)] rate: f64,
     #[case] for_ms: u64,
     #[case] least: f64,
@@ -206,10 +208,11 @@
     check(&fleet, 0.85, 0.001);
 }
 
-/// Each message takes 100 ms more: busy processes, of which news pass three. A tenant of 28 requests a second that
-/// turned hot got 208 in a window, of 205 that are tolerated.
+/// Each message takes 100 ms longer, as with busy processes, and levels pass three processes.
+/// Guards against a tenant with a quota of 28 requests per second that got 208 requests in a
+/// window, above the tolerated 205, when its load rose.
 #[rstest]
-fn news_are_slow(
+fn levels_arrive_late(
     #[values(1.0, 28.0, 40.0, 400.0)] rate: f64,
     #[values(3.0, 6.0)] times: f64,
     #[values(Spread::One, Spread::Zipf, Spread::Even)] spread: Spread,
--- a/crates/domain/tests/quota_fleet/ledger.rs
+++ b/crates/domain/tests/quota_fleet/ledger.rs
@@ -1,20 +1,20 @@
-//! What came of one tenant's requests over all brokers, and the checks of it.
+//! Records the requests of one tenant over all brokers and evaluates them.
 
 use std::time::Duration;
 
 use gingerkeel_domain::quota::QuotaSettings;
 use gingerkeel_domain::routes::TenantQuota;
 
-/// A request that came to a broker.
+/// A request received by a broker.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at_ms: u64,
-    /// Whether one bucket of the whole quota has room for it, as operators count.
+    /// Whether a single bucket of the whole quota would admit it.
     within: bool,
     admitted: bool,
 }
 
-/// The requests of one tenant in the order in which they came.
+/// The requests of one tenant in order of arrival.
 #[derive(Debug)]
 pub struct Ledger {
     quota: TenantQuota,
@@ -28,7 +28,7 @@
         Self { quota, level: quota.burst(), counted_ms: 0, arrivals: Vec::new() }
     }
 
-    /// The quota is another one from now on.
+    /// Changes the quota from `now_ms` on.
     pub fn change(&mut self, now_ms: u64, quota: TenantQuota) {
         self.refill(now_ms);
         self.quota = quota;
@@ -44,17 +44,17 @@
         self.arrivals.push(Arrival { at_ms: now_ms, within, admitted });
     }
 
-    /// Requests admitted from `from_ms` on and before `until_ms`.
+    /// Number of requests admitted in `from_ms..until_ms`.
     pub fn admitted(&self, from_ms: u64, until_ms: u64) -> usize {
         self.between(from_ms, until_ms).filter(|arrival| arrival.admitted).count()
     }
 
-    /// Requests within the quota that came from `from_ms` on and before `until_ms`.
+    /// Number of requests within the quota in `from_ms..until_ms`.
     pub fn within(&self, from_ms: u64, until_ms: u64) -> usize {
         self.between(from_ms, until_ms).filter(|arrival| arrival.within).count()
     }
 
-    /// Share of the requests within the quota that were refused.
+    /// Fraction of the requests within the quota that were refused.
     pub fn wrongly_refused(&self, from_ms: u64, until_ms: u64) -> f64 {
         let refused = self
             .between(from_ms, until_ms)
@@ -63,7 +63,8 @@
         refused as f64 / self.within(from_ms, until_ms).max(1) as f64
     }
 
-    /// The most that was admitted in a window, over what operators tolerate; above 1 is too much.
+    /// Largest number of requests admitted in a window over the tolerated number; above 1 is a
+    /// violation.
     pub fn worst_window(&self, settings: &QuotaSettings, from_ms: u64) -> f64 {
         let window_ms = settings.window.as_millis() as u64;
         let admitted = self.arrivals.iter().filter(|arrival| arrival.admitted);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Requests that operators tolerate in a window.
+/// Number of requests tolerated in a window.
 fn tolerated(settings: &QuotaSettings, quota: TenantQuota) -> f64 {
     let allowed = quota.per_second() * settings.window.as_secs_f64() + quota.burst();
     allowed * (1.0 + settings.overshoot) + settings.slack
--- a/crates/domain/tests/quota_fleet/mod.rs
+++ b/crates/domain/tests/quota_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Meters and folds on a time that is moved by hand, with messages that take their time.
+//! Simulates quota meters and aggregators on a virtual clock, with message delays and loss.
 #![allow(dead_code)]
 
 mod ledger;
@@ -17,32 +17,33 @@
 
 pub use ledger::Ledger;
 
-/// How operators count in all of these tests.
+/// Window and tolerance in all of these tests.
 pub const SETTINGS: QuotaSettings =
     QuotaSettings { window: Duration::from_secs(5), overshoot: 0.1, slack: 20.0 };
 
 /// Time between two reports of a broker, and between two rounds of a control process.
 const ROUND_MS: u64 = 100;
-/// Way of a message, one way, up to two regions.
-const WAY_MS: std::ops::Range<u64> = 1..15;
-/// Time after which a link counts as lost that carries nothing, and after which a new one stands.
+/// One-way delay of a message, also between regions.
+const DELAY_MS: std::ops::Range<u64> = 1..15;
+/// Idle time after which a link counts as lost.
 const LINK_TIME_OUT_MS: u64 = 3_000;
+/// Time after which a broker reconnects.
 const RECONNECT_MS: u64 = 500;
-/// Time between two looks at the replicated list of members.
+/// Interval of updates of the replicated membership.
 const MEMBERS_ROUND_MS: u64 = 500;
 
 /// How the requests of a tenant are spread over the brokers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Spread {
-    /// All come to the first broker.
+    /// All requests go to the first broker.
     One,
-    /// The n-th broker gets the n-th part of what the first one gets.
+    /// The n-th broker gets 1/n of the requests of the first one.
     Zipf,
-    /// All brokers get alike.
+    /// All brokers get the same number.
     Even,
 }
 
-/// Requests of one tenant, each independent of the others.
+/// A Poisson load of one tenant.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub tenant: &'static str,
@@ -52,7 +53,7 @@
     pub until_ms: u64,
 }
 
-/// Quota of so many requests a second, with a burst.
+/// A quota of `per_second` requests per second with a burst.
 pub fn quota(per_second: f64, burst: f64) -> TenantQuota {
     TenantQuota {
         requests_per_1000_s: (per_second * 1_000.0) as u64,
@@ -64,18 +65,18 @@
     meter: QuotaMeter,
     /// The control process that feeds it.
     control: Option<usize>,
-    /// When it was without one since, and may turn to one.
+    /// When its link was lost.
     lost_ms: u64,
     frozen_until_ms: u64,
     /// Number of the run of its process.
     run: u64,
-    /// Number of its link, so that messages of a former one are not taken.
+    /// Number of its link, so that messages of an earlier link are ignored.
     link: u64,
     last_heard_ms: u64,
 }
 
 struct Control {
-    fold: UsageAggregator,
+    aggregator: UsageAggregator,
     alive: bool,
     run: u64,
     last_heard_ms: BTreeMap<usize, u64>,
@@ -88,7 +89,7 @@
 }
 
 impl Message {
-    /// The connection and direction that it takes.
+    /// The connection and direction of the message.
     fn connection(&self) -> (u8, usize, usize) {
         match self {
             Self::Report { broker, link, .. } => (0, *broker, *link as usize),
@@ -98,18 +99,18 @@
     }
 }
 
-/// What happens to messages between processes, beside cuts.
+/// Message loss and delay between processes, in addition to partitions.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Unreliable {
-    /// Share of the messages between control processes that are lost: their queues are bounded.
+    /// Fraction of the messages between control processes that are lost, since queues are bounded.
     pub lost: f64,
-    /// Share of the messages that take long.
+    /// Fraction of the messages that are delayed.
     pub late: f64,
-    /// Time that those take besides.
+    /// Additional delay of those messages.
     pub late_ms: u64,
 }
 
-/// Brokers and control processes that limit tenants together.
+/// A simulated fleet of brokers and control processes that enforce quotas.
 pub struct Fleet {
     now_ms: u64,
     brokers: Vec<Broker>,
@@ -121,14 +122,14 @@
     ledgers: BTreeMap<TenantName, Ledger>,
     loads: Vec<Load>,
     random: Pcg64,
-    /// Brokers and control processes that are cut off from one another, by part.
+    /// Partition of brokers and control processes; 0 if missing.
     broker_part: BTreeMap<usize, u8>,
     control_part: BTreeMap<usize, u8>,
     pub unreliable: Unreliable,
 }
 
 impl Fleet {
-    /// A fleet in which all processes have just started.
+    /// A fleet whose processes have just started.
     pub fn new(brokers: usize, controls: usize, quotas: &[(&str, TenantQuota)]) -> Self {
         let quotas: BTreeMap<TenantName, TenantQuota> =
             quotas.iter().map(|(name, quota)| (TenantName::new(name), *quota)).collect();
@@ -157,7 +158,7 @@
         fleet
     }
 
-    /// All draws from this seed on.
+    /// Reseeds the random generator.
     pub fn seed(&mut self, seed: u64) {
         self.random = Pcg64::seed_from_u64(seed);
     }
@@ -174,7 +175,7 @@
         self.now_ms
     }
 
-    /// Time passes, a millisecond a step.
+    /// Advances the clock in steps of one millisecond.
     pub fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.deliver();
@@ -184,14 +185,14 @@
         }
     }
 
-    /// Cuts these brokers off from all control processes.
+    /// Partitions these brokers from all control processes.
     pub fn cut_brokers(&mut self, brokers: impl Iterator<Item = usize>) {
         brokers.for_each(|broker| {
             self.broker_part.insert(broker, 9);
         });
     }
 
-    /// Cuts off the last control processes, with as large a part of the brokers.
+    /// Partitions the last control processes, with the same fraction of the brokers.
     pub fn cut_in_two(&mut self, controls: usize) {
         let (all, brokers) = (self.controls.len(), self.brokers.len());
         (all - controls..all).for_each(|control| {
@@ -203,13 +204,13 @@
         });
     }
 
-    /// Ends all cuts.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.broker_part.clear();
         self.control_part.clear();
     }
 
-    /// A control process ends at once; its brokers see their connections closed.
+    /// Kills a control process; its brokers see their connections closed.
     pub fn kill_control(&mut self, control: usize) {
         self.controls[control].alive = false;
         for number in 0..self.brokers.len() {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// A control process starts, without any knowledge.
+    /// Starts a control process without any state.
     pub fn start_control(&mut self, control: usize) {
         if self.controls[control].alive {
             return;
@@ -228,16 +229,16 @@
         self.controls[control] = self.new_control(control, run);
     }
 
-    /// A broker's process stands still.
+    /// Suspends a broker process.
     pub fn freeze(&mut self, broker: usize, for_ms: u64) {
         self.brokers[broker].frozen_until_ms = self.now_ms + for_ms;
     }
 
-    /// A broker's process is replaced by a new one.
+    /// Replaces a broker process by a new one.
     pub fn restart_broker(&mut self, broker: usize) {
         if let Some(control) = self.brokers[broker].control {
             let name = broker_name(broker);
-            self.controls[control].fold.broker_stopped(at(self.now_ms), &name);
+            self.controls[control].aggregator.broker_stopped(at(self.now_ms), &name);
         }
         let mut new = self.new_broker(self.brokers.len());
         new.run = self.brokers[broker].run + 1;
@@ -245,7 +246,7 @@
         self.brokers[broker] = new;
     }
 
-    /// Every process gets another quota of a tenant.
+    /// Changes the quota of a tenant at every process.
     pub fn change_quota(&mut self, tenant: &str, quota: TenantQuota) {
         let tenant = TenantName::new(tenant);
         self.quotas.insert(tenant.clone(), quota);
@@ -255,7 +256,7 @@
             broker.meter.configure(now, listed(&self.quotas));
         }
         for control in self.controls.iter_mut().filter(|control| control.alive) {
-            control.fold.configure(now, listed(&self.quotas));
+            control.aggregator.configure(now, listed(&self.quotas));
         }
     }
 
@@ -276,9 +277,9 @@
 
     fn new_control(&self, number: usize, run: u64) -> Control {
         let now = at(self.now_ms);
-        let mut fold = UsageAggregator::new(run * 1_000 + number as u64);
-        fold.configure(now, listed(&self.quotas));
-        Control { fold, alive: true, run, last_heard_ms: BTreeMap::new() }
+        let mut aggregator = UsageAggregator::new(run * 1_000 + number as u64);
+        aggregator.configure(now, listed(&self.quotas));
+        Control { aggregator, alive: true, run, last_heard_ms: BTreeMap::new() }
     }
 
     fn send_requests(&mut self) {
@@ -287,7 +288,7 @@
             if self.now_ms < load.from_ms || self.now_ms >= load.until_ms {
                 continue;
             }
-            // A Poisson process: the count of one step by Knuth's product of draws.
+            // Poisson-distributed number of requests per step, by Knuth's algorithm.
             let bound = (-load.per_second / 1_000.0).exp();
             let mut product = self.draw();
             while product > bound {
@@ -299,7 +300,7 @@
     }
 
     fn arrive(&mut self, broker: usize, tenant: &str) {
-        // What comes to a broker that stands still comes elsewhere instead.
+        // Requests to a suspended broker go to the next one.
         let broker = match self.brokers[broker].frozen_until_ms > self.now_ms {
             true => (broker + 1) % self.brokers.len(),
             false => broker,
@@ -317,7 +318,7 @@
         match spread {
             Spread::One => 0,
             Spread::Even => (draw * brokers as f64) as usize,
-            // The inverse of the harmonic numbers, near enough.
+            // Approximate inverse of the harmonic numbers.
             Spread::Zipf => (((brokers as f64 + 1.0).powf(draw) - 1.0) as usize).min(brokers - 1),
         }
     }
@@ -363,20 +364,20 @@
     fn control_round(&mut self, number: usize) {
         let now = at(self.now_ms);
         if self.now_ms % MEMBERS_ROUND_MS < ROUND_MS && !self.control_part.contains_key(&number) {
-            self.tell_members(number);
+            self.update_members(number);
         }
         self.notice_lost_brokers(number);
-        let usage = self.controls[number].fold.peer_message(now);
+        let usage = self.controls[number].aggregator.peer_message(now);
         for to in (0..self.controls.len()).filter(|to| *to != number) {
             self.send(Message::Peer { from: number, to, usage: usage.clone() });
         }
-        if !self.controls[number].fold.is_informed(now) {
+        if !self.controls[number].aggregator.is_informed(now) {
             return;
         }
-        let levels = self.controls[number].fold.broker_levels(now);
+        let levels = self.controls[number].aggregator.broker_levels(now);
         for broker in 0..self.brokers.len() {
             if self.brokers[broker].control == Some(number) && self.reaches(broker, number) {
-                let heard = self.controls[number].fold.last_sequence(&broker_name(broker));
+                let heard = self.controls[number].aggregator.last_sequence(&broker_name(broker));
                 let usage = FleetUsage { heard, levels: levels.clone() };
                 let link = self.brokers[broker].link;
                 self.send(Message::Levels { broker, link, usage });
@@ -384,8 +385,8 @@
         }
     }
 
-    /// The replicated list of members, which lags by up to half a second.
-    fn tell_members(&mut self, number: usize) {
+    /// Applies the replicated membership, which lags by up to half a second.
+    fn update_members(&mut self, number: usize) {
         let fed = self.brokers.iter().enumerate().filter_map(|(broker, state)| {
             Some((broker_name(broker), control_name(state.control?)))
         });
@@ -393,9 +394,9 @@
         let peers = (0..self.controls.len()).filter(|peer| *peer != number);
         let peers: Vec<ControlName> = peers.map(control_name).collect();
         let now = at(self.now_ms);
-        let fold = &mut self.controls[number].fold;
-        fold.set_peers(now, peers.into_iter());
-        fold.set_members(now, self.brokers.len(), fed.into_iter());
+        let aggregator = &mut self.controls[number].aggregator;
+        aggregator.set_peers(now, peers.into_iter());
+        aggregator.set_members(now, self.brokers.len(), fed.into_iter());
     }
 
     fn notice_lost_brokers(&mut self, number: usize) {
@@ -406,7 +407,7 @@
             control.last_heard_ms.iter().filter(silent).map(|(broker, _)| *broker).collect();
         for broker in lost {
             control.last_heard_ms.remove(&broker);
-            control.fold.broker_lost(at(now_ms), &broker_name(broker));
+            control.aggregator.broker_lost(at(now_ms), &broker_name(broker));
         }
     }
 
@@ -442,14 +443,14 @@
         if between_controls && self.draw() < self.unreliable.lost {
             return;
         }
-        let span = (WAY_MS.end - WAY_MS.start) as f64;
-        let mut way = WAY_MS.start + (self.draw() * span) as u64;
+        let span = (DELAY_MS.end - DELAY_MS.start) as f64;
+        let mut delay = DELAY_MS.start + (self.draw() * span) as u64;
         if self.draw() < self.unreliable.late {
-            way += self.unreliable.late_ms;
+            delay += self.unreliable.late_ms;
         }
-        // A connection keeps the order: what is late keeps back what follows.
+        // A connection preserves the order, so a late message delays those behind it.
         let last = self.last_arrival_ms.entry(message.connection()).or_default();
-        *last = (*last).max(self.now_ms + way);
+        *last = (*last).max(self.now_ms + delay);
         self.sent += 1;
         self.messages.insert((*last, self.sent), message);
     }
@@ -475,7 +476,12 @@
                 if self.brokers[broker].link == link && self.reaches(broker, control) {
                     let control = &mut self.controls[control];
                     control.last_heard_ms.insert(broker, self.now_ms);
-                    control.fold.record_report(now, &broker_name(broker), BrokerRun(run), &report);
+                    control.aggregator.record_report(
+                        now,
+                        &broker_name(broker),
+                        BrokerRun(run),
+                        &report,
+                    );
                 }
             }
             Message::Levels { broker, link, usage } => {
@@ -493,14 +499,18 @@
                 let part = |control: usize| self.control_part.get(&control);
                 let passes = part(from) == part(to);
                 if passes && self.controls[to].alive && self.controls[from].alive {
-                    self.controls[to].fold.record_peer_usage(now, &control_name(from), &usage);
+                    self.controls[to].aggregator.record_peer_usage(
+                        now,
+                        &control_name(from),
+                        &usage,
+                    );
                 }
             }
         }
     }
 }
 
-/// Milliseconds after the start.
+/// The timestamp `milliseconds` after the start.
 pub fn at(milliseconds: u64) -> Timestamp {
     Timestamp::from_micros(milliseconds * 1_000)
 }
--- a/crates/domain/tests/quota_give_back.rs
+++ b/crates/domain/tests/quota_give_back.rs
@@ -1,4 +1,4 @@
-//! Requests that a quota admitted and that did not run.
+//! Returning admitted requests that did not run to the quota.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
 
-/// No tolerance, so that the burst alone decides.
+/// Zero tolerance, so that the burst alone decides.
 const EXACT: QuotaSettings =
     QuotaSettings { window: Duration::from_secs(5), overshoot: 0.0, slack: 0.0 };
 
@@ -16,7 +16,7 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-/// A broker whose tenant may send three requests, and then next to none.
+/// A meter with a tenant that has a burst of three requests and a negligible rate.
 fn meter(tenant: &TenantName) -> QuotaMeter {
     let mut meter = QuotaMeter::new(EXACT);
     let quota = TenantQuota { requests_per_1000_s: 1, burst_thousandths: 3_000 };
@@ -24,18 +24,18 @@
     meter
 }
 
-/// Whether a request is admitted that comes while a third of the requests fit.
+/// Whether a request is admitted at a draw of 0.3.
 fn is_admitted(meter: &mut QuotaMeter, now: Timestamp, tenant: &TenantName) -> bool {
     meter.admit(now, tenant, 0.3) == QuotaDecision::Admitted
 }
 
-/// Of ten requests so far apart, how many are admitted where each of them is given back or none is.
-fn admitted_of_ten(apart_ms: u64, in_touch: bool, gives_back: bool) -> usize {
+/// Number of ten requests, `apart_ms` apart, that are admitted if each or none is given back.
+fn admitted_of_ten(apart_ms: u64, connected: bool, gives_back: bool) -> usize {
     let tenant = TenantName::new("t");
     let mut meter = meter(&tenant);
     let admitted = (0..10).filter(|turn| {
         let now = at(turn * apart_ms);
-        if in_touch {
+        if connected {
             meter.apply_fleet_usage(now, &FleetUsage::default());
         }
         let admitted = is_admitted(&mut meter, now, &tenant);
@@ -48,18 +48,15 @@
 }
 
 #[rstest]
-#[case::while_control_tells(450, true)]
-#[case::without_news(2_000, false)]
-fn a_request_that_did_not_run_leaves_its_place_to_another(
-    #[case] apart_ms: u64,
-    #[case] in_touch: bool,
-) {
-    assert_eq!(admitted_of_ten(apart_ms, in_touch, true), 10);
-    assert!(admitted_of_ten(apart_ms, in_touch, false) <= 4);
+#[case::with_current_levels(450, true)]
+#[case::isolated(2_000, false)]
+fn a_request_that_did_not_run_is_available_again(#[case] apart_ms: u64, #[case] connected: bool) {
+    assert_eq!(admitted_of_ten(apart_ms, connected, true), 10);
+    assert!(admitted_of_ten(apart_ms, connected, false) <= 4);
 }
 
 #[test]
-fn what_did_not_run_is_not_reported_and_what_was_reported_stays_counted() {
+fn a_returned_request_is_not_reported_and_a_reported_one_stays_counted() {
     let tenant = TenantName::new("t");
     let mut meter = meter(&tenant);
     meter.apply_fleet_usage(at(0), &FleetUsage::default());
@@ -75,7 +72,7 @@
 }
 
 #[test]
-fn places_that_nobody_took_cannot_be_given_back() {
+fn requests_that_were_not_admitted_cannot_be_given_back() {
     let tenant = TenantName::new("t");
     let mut meter = meter(&tenant);
     (0..100).for_each(|_| meter.give_back(at(0), &tenant));
--- a/crates/domain/tests/quota_messages.rs
+++ b/crates/domain/tests/quota_messages.rs
@@ -1,4 +1,4 @@
-//! What brokers and control processes tell each other of quotas counts once.
+//! Quota messages are counted exactly once.
 
 use std::time::Duration;
 
@@ -20,19 +20,19 @@
     TenantName::new("t")
 }
 
-/// A control process that knows the members, long enough after its start for the burst to be whole.
-fn fold() -> UsageAggregator {
-    let mut fold = UsageAggregator::new(1);
-    fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
-    fold.set_members(at(0), 1, std::iter::empty());
+/// An aggregator that knows the membership, long enough after its start for a full burst.
+fn aggregator() -> UsageAggregator {
+    let mut aggregator = UsageAggregator::new(1);
+    aggregator.configure(at(0), [(tenant(), QUOTA)].into_iter());
+    aggregator.set_members(at(0), 1, std::iter::empty());
     (0..200).for_each(|round| {
-        fold.peer_message(at(round * 100));
+        aggregator.peer_message(at(round * 100));
     });
-    fold
+    aggregator
 }
 
-fn level(fold: &mut UsageAggregator, now: Timestamp) -> i64 {
-    let levels = fold.broker_levels(now);
+fn level(aggregator: &mut UsageAggregator, now: Timestamp) -> i64 {
+    let levels = aggregator.broker_levels(now);
     levels.first().map_or(100_000, |level| level.level_thousandths)
 }
 
@@ -47,30 +47,30 @@
 }
 
 #[test]
-fn a_report_that_comes_twice_counts_once_and_a_new_run_of_the_broker_counts_anew() {
-    let (mut fold, broker, now) = (fold(), BrokerName::new("b"), at(20_000));
-    fold.record_report(now, &broker, BrokerRun(1), &report(1, 50));
-    fold.record_report(now, &broker, BrokerRun(1), &report(1, 50));
-    assert_eq!(level(&mut fold, now), 50_000);
-    assert_eq!(fold.last_sequence(&broker), 1);
-    fold.record_report(now, &broker, BrokerRun(2), &report(1, 10));
-    assert_eq!(level(&mut fold, now), 40_000);
+fn duplicate_reports_count_once_and_a_new_run_of_the_broker_counts_again() {
+    let (mut aggregator, broker, now) = (aggregator(), BrokerName::new("b"), at(20_000));
+    aggregator.record_report(now, &broker, BrokerRun(1), &report(1, 50));
+    aggregator.record_report(now, &broker, BrokerRun(1), &report(1, 50));
+    assert_eq!(level(&mut aggregator, now), 50_000);
+    assert_eq!(aggregator.last_sequence(&broker), 1);
+    aggregator.record_report(now, &broker, BrokerRun(2), &report(1, 10));
+    assert_eq!(level(&mut aggregator, now), 40_000);
 }
 
 #[test]
-fn totals_of_before_do_not_count_and_those_of_a_new_run_begin_at_nothing() {
-    let (mut fold, peer, now) = (fold(), ControlName::new("c"), at(20_000));
-    fold.record_peer_usage(now, &peer, &totals(7, 1_000_000));
-    assert_eq!(level(&mut fold, now), 100_000, "used before this process heard of it");
-    fold.record_peer_usage(now, &peer, &totals(7, 1_000_030));
-    fold.record_peer_usage(now, &peer, &totals(7, 1_000_010));
-    assert_eq!(level(&mut fold, now), 70_000, "a message that was overtaken changes nothing");
-    fold.record_peer_usage(now, &peer, &totals(8, 20));
-    assert_eq!(level(&mut fold, now), 50_000);
+fn earlier_totals_do_not_count_and_those_of_a_new_run_start_at_zero() {
+    let (mut aggregator, peer, now) = (aggregator(), ControlName::new("c"), at(20_000));
+    aggregator.record_peer_usage(now, &peer, &totals(7, 1_000_000));
+    assert_eq!(level(&mut aggregator, now), 100_000, "the first total is the baseline");
+    aggregator.record_peer_usage(now, &peer, &totals(7, 1_000_030));
+    aggregator.record_peer_usage(now, &peer, &totals(7, 1_000_010));
+    assert_eq!(level(&mut aggregator, now), 70_000, "a reordered message changes nothing");
+    aggregator.record_peer_usage(now, &peer, &totals(8, 20));
+    assert_eq!(level(&mut aggregator, now), 50_000);
 }
 
 #[test]
-fn counts_that_were_not_acknowledged_come_again_over_another_link() {
+fn unacknowledged_counts_are_reported_again_over_a_new_link() {
     let settings = QuotaSettings { window: Duration::from_secs(5), overshoot: 0.1, slack: 20.0 };
     let mut meter = QuotaMeter::new(settings);
     meter.configure(at(0), [(tenant(), QUOTA)].into_iter());
@@ -82,21 +82,21 @@
     assert_eq!(admitted(meter.report(at(100))), 1);
     meter.apply_fleet_usage(at(150), &FleetUsage { heard: 1, levels: Vec::new() });
     arrive(&mut meter, at(160));
-    assert_eq!(admitted(meter.report(at(200))), 1, "without what was acknowledged");
+    assert_eq!(admitted(meter.report(at(200))), 1, "acknowledged requests are not repeated");
     arrive(&mut meter, at(210));
     meter.link_lost(at(220));
-    assert_eq!(admitted(meter.report(at(300))), 2, "the one that may be lost, and the next");
+    assert_eq!(admitted(meter.report(at(300))), 2, "the unacknowledged request and the new one");
     assert_eq!(meter.report(at(400)), None);
-    assert_eq!(admitted(meter.report(at(900))), 0, "a sign of life");
+    assert_eq!(admitted(meter.report(at(900))), 0, "a heartbeat");
     meter.link_lost(at(9_000));
-    assert_eq!(admitted(meter.report(at(9_000))), 0, "too old to matter");
+    assert_eq!(admitted(meter.report(at(9_000))), 0, "expired");
 }
 
 #[test]
-fn a_control_process_that_does_not_know_the_members_tells_nothing() {
-    let mut fold = UsageAggregator::new(1);
-    fold.configure(at(0), [(tenant(), QUOTA)].into_iter());
-    assert!(!fold.is_informed(at(60_000)));
-    fold.set_members(at(60_000), 3, std::iter::empty());
-    assert!(fold.is_informed(at(60_000)));
+fn a_control_process_without_the_membership_sends_no_levels() {
+    let mut aggregator = UsageAggregator::new(1);
+    aggregator.configure(at(0), [(tenant(), QUOTA)].into_iter());
+    assert!(!aggregator.is_informed(at(60_000)));
+    aggregator.set_members(at(60_000), 3, std::iter::empty());
+    assert!(aggregator.is_informed(at(60_000)));
 }
--- a/crates/domain/tests/quota_schedules.rs
+++ b/crates/domain/tests/quota_schedules.rs
@@ -1,4 +1,4 @@
-//! No window has more than is tolerated, whatever callers do and whichever processes fail.
+//! No window exceeds the tolerance under random loads and failures.
 
 mod quota_fleet;
 
@@ -10,7 +10,7 @@
 const CONTROLS: usize = 3;
 const END_MS: u64 = 30_000;
 
-/// A failure, and for how long.
+/// A failure and its duration.
 #[derive(Debug, Clone)]
 enum Failure {
     None,
@@ -22,7 +22,7 @@
     BrokersRestarted { first: usize, every_ms: u64 },
 }
 
-/// Requests beside the usual ones, in multiples of the quota.
+/// A load peak in addition to the usual load, in multiples of the quota.
 #[derive(Debug, Clone)]
 struct Rush {
     at_ms: u64,
@@ -59,7 +59,7 @@
     prop_oneof![Just(Spread::One), Just(Spread::Zipf), Just(Spread::Even)]
 }
 
-/// Time passes from `at_ms` on with this failure, and on to the end.
+/// Runs the fleet to the end, with `failure` from `at_ms` on.
 fn run(fleet: &mut Fleet, at_ms: u64, failure: &Failure) {
     fleet.run_until(at_ms);
     match failure {
@@ -102,7 +102,8 @@
     fn no_window_has_more_than_is_tolerated(
         seed in any::<u64>(),
         rate in prop_oneof![Just(1.0), Just(10.0), Just(100.0)],
-        // A burst of a second of the rate at least: less is used up before anybody hears of a rush.
+        // A burst of at least one second of the rate: a smaller one is used up before other
+        // processes learn of a peak.
         bursts in 1.0..3.0_f64,
         spread in spread(),
         lost in prop_oneof![Just(0.0), Just(0.2)],
--- a/crates/domain/tests/quotas.rs
+++ b/crates/domain/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas over all brokers together, while nothing fails.
+//! Quotas over a fleet of brokers without failures.
 
 mod quota_fleet;
 
@@ -8,20 +8,20 @@
 use quota_fleet::{Fleet, Load, SETTINGS, Spread, at, quota};
 use rstest::rstest;
 
-/// Control processes of a fleet.
+/// Number of control processes of a fleet.
 const CONTROLS: usize = 3;
-/// When callers come: processes that start together know each other by then.
+/// Start of the load; by then the processes have discovered each other.
 const OPEN_MS: u64 = 3_000;
-/// Load of a tenant that stays within its quota, as a share of it.
+/// Load of a tenant within its quota, as a fraction of the quota.
 const CALM: f64 = 0.6;
 
 fn calm(tenant: &'static str, per_second: f64, spread: Spread, until_ms: u64) -> Load {
     Load { tenant, per_second: per_second * CALM, spread, from_ms: OPEN_MS, until_ms }
 }
 
-/// A tenant of `rate` requests a second that sends `times` as much from the 10th to the 20th second, and
-/// another one that stays calm.
-fn hot_day(brokers: usize, rate: f64, times: f64, spread: Spread) -> Fleet {
+/// A tenant with a quota of `rate` requests per second that sends `times` as much from second 10 to
+/// 20, and another tenant that stays within its quota.
+fn hot_tenant(brokers: usize, rate: f64, times: f64, spread: Spread) -> Fleet {
     let quotas = [("hot", quota(rate, rate)), ("calm", quota(40.0, 40.0))];
     let mut fleet = Fleet::new(brokers, CONTROLS.min(brokers), &quotas);
     fleet.load(calm("hot", rate, spread, 30_000));
@@ -39,7 +39,7 @@
     #[values(3.0, 6.0)] times: f64,
     #[values(Spread::One, Spread::Zipf, Spread::Even)] spread: Spread,
 ) {
-    let fleet = hot_day(brokers, rate, times, spread);
+    let fleet = hot_tenant(brokers, rate, times, spread);
     let hot = fleet.ledger("hot");
     let worst = hot.worst_window(&SETTINGS, 0);
     assert!(worst <= 1.0, "a window had {worst:.2} of what operators tolerate");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_refusal_tells_when_there_is_room() {
+fn a_refusal_carries_a_retry_delay() {
     let tenant = TenantName::new("t");
     let mut meter = QuotaMeter::new(SETTINGS);
     meter.configure(at(0), [(tenant.clone(), quota(1.0, 1.0))].into_iter());
