--- a/crates/domain/tests/ended_leaves.rs
+++ b/crates/domain/tests/ended_leaves.rs
@@ -1,7 +1,8 @@
-//! A leaf that has ended is told from one that is slow, and requests that arrived at whoever has its address are
-//! taken out of that service's budget.
+//! A terminated leaf is distinguished from a slow one, and requests that reached a new owner of its
+//! address are charged to that service's extra-load budget.
 //!
-//! What goes wrong without, and how it was found: `crates/simulation/tests/taken_addresses.rs`.
+//! The failure that this guards against is reproduced in
+//! `crates/simulation/tests/taken_addresses.rs`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +17,7 @@
 use rstest::rstest;
 
 const WINDOW: Duration = Duration::from_secs(10);
-/// One broker may save up two extra requests, as many as it earns with four requests.
+/// One broker may accumulate two extra requests, which it earns with four requests.
 const BUDGET: ExtraLoadSettings = ExtraLoadSettings { ratio: 0.5, window: WINDOW, slack: 2.0 };
 
 fn at(milliseconds: u64) -> Timestamp {
@@ -40,7 +41,7 @@
     }
 }
 
-/// What a broker sees of the near leaf.
+/// An observation of a leaf by a broker.
 #[derive(Debug, Clone, Copy)]
 enum Seen {
     Replies,
@@ -68,7 +69,7 @@
     set.finish(now, &settings, &identity, outcome);
 }
 
-/// Two leaves, listed at the start; the far one replies.
+/// Two leaves, listed at the start, of which the far one replies.
 fn two_leaves() -> ReplicaSet {
     let mut set = ReplicaSet::default();
     set.list(at(0), &leaf("near"), Distance::Zone);
@@ -82,7 +83,8 @@
     set.choose(at(milliseconds), &ReplicaSettings::default(), &[], reach, || 0.0)
 }
 
-/// Whether a request that may go to the near leaf only finds nobody for this reason.
+/// Whether the near leaf, the only one allowed, is excluded because it is presumed to have
+/// terminated.
 fn is_presumed_ended(set: &ReplicaSet, milliseconds: u64) -> bool {
     let reach = |leaf: &LeafIdentity| match leaf.as_str() {
         "near" => Ok(Connectivity::Idle),
@@ -93,7 +95,8 @@
     selection == Selection::Nobody(reason)
 }
 
-/// What was seen of the near leaf and when, in milliseconds, and whether it is presumed to have ended then.
+/// Observations of the near leaf with their times in milliseconds, and whether it is then presumed
+/// to have terminated.
 #[rstest]
 #[case::refuses_connections_after_replies(&[(0, Seen::Replies), (100, Seen::RefusesConnection)], 101, true)]
 #[case::refused_work_before(&[(0, Seen::RefusesWork), (100, Seen::RefusesConnection)], 101, true)]
@@ -113,7 +116,7 @@
 #[case::refuses_work_since(&[(0, Seen::Replies), (100, Seen::IsLate), (900, Seen::IsLate), (950, Seen::RefusesWork)], 2_900, false)]
 #[case::the_list_had_its_time(&[(0, Seen::Replies), (100, Seen::RefusesConnection)], 10_101, false)]
 #[case::misses_again_then(&[(0, Seen::Replies), (100, Seen::IsLate), (10_200, Seen::IsLate)], 11_300, true)]
-fn a_leaf_that_replied_and_does_not_any_more_is_presumed_to_have_ended(
+fn a_leaf_that_stopped_replying_is_presumed_to_have_terminated(
     #[case] seen: &[(u64, Seen)],
     #[case] now: u64,
     #[case] ended: bool,
@@ -125,10 +128,10 @@
     assert_eq!(is_presumed_ended(&set, now), ended);
 }
 
-/// To a leaf that has missed, a connection is opened at once and then each second, until it gives a sign or is
-/// presumed to have ended, which is told once.
+/// A leaf with a late reply is probed with a connection at once and then every second, until it
+/// responds or is presumed to have terminated, which is reported once.
 #[test]
-fn a_leaf_that_has_missed_is_looked_after() {
+fn a_late_leaf_is_probed() {
     let mut set = two_leaves();
     let look = |set: &mut ReplicaSet, milliseconds| {
         let found = set.look_after_missing(at(milliseconds), &ReplicaSettings::default());
@@ -149,9 +152,9 @@
     assert_eq!(look(&mut set, 9_000), (0, 0));
 }
 
-/// One that is presumed to have ended is not asked instead of the others, and no connection is kept ready.
+/// A leaf that is presumed to have terminated is skipped, and no connection to it is kept open.
 #[test]
-fn others_are_asked_instead() {
+fn other_leaves_are_asked_instead() {
     let mut set = two_leaves();
     see(&mut set, 0, "near", Seen::Replies);
     see(&mut set, 100, "near", Seen::RefusesConnection);
@@ -160,9 +163,9 @@
     assert!(!set.is_in_service(&near, at(101), &ReplicaSettings::default()));
 }
 
-/// Where nobody replies, the broker's own link may be the cause: it goes on asking.
+/// If no leaf replies, the broker's own link may be the cause, so it continues to ask.
 #[test]
-fn where_all_seem_to_have_ended_they_are_asked() {
+fn leaves_are_asked_if_all_seem_to_have_terminated() {
     let mut set = two_leaves();
     for name in ["near", "far"] {
         see(&mut set, 0, name, Seen::Replies);
@@ -185,25 +188,25 @@
     misdirected.arrived(at(6_000), address(1));
     misdirected.arrived(at(6_000), address(2));
     assert_eq!(misdirected.take(at(7_000), WINDOW, address(3)), 0);
-    // The first was too long ago for the budget's window.
+    // The first request is outside the budget's window.
     assert_eq!(misdirected.take(at(10_000), WINDOW, address(1)), 2);
     assert_eq!(misdirected.take(at(10_000), WINDOW, address(1)), 0);
     assert_eq!(misdirected.take(at(16_000), WINDOW, address(2)), 0);
 }
 
-/// They take the place of as many extra requests, also where there is no room.
+/// Misdirected requests replace as many extra requests, even beyond the budget.
 #[rstest]
 #[case::room(4, 1)]
 #[case::as_much_as_there_is(4, 2)]
 #[case::no_room(4, 3)]
-fn what_was_misdirected_is_taken_out_of_the_budget(#[case] requests: u32, #[case] covered: u32) {
+fn misdirected_requests_are_charged_to_the_budget(#[case] requests: u32, #[case] covered: u32) {
     let share = ExtraLoadShare::of(&BUDGET, 1);
     let mut budget = ExtraLoadBudget::default();
     (0..requests).for_each(|_| budget.earn(&share, at(0)));
     (0..covered).for_each(|_| budget.cover(&share, at(0)));
     let taken = (0..10).filter(|_| budget.take(&share, at(0))).count();
     assert_eq!(taken as u32, (requests / 2).saturating_sub(covered));
-    // What was beyond the budget is owed by the requests that follow.
+    // The excess over the budget is deducted from later earnings.
     (0..requests).for_each(|_| budget.earn(&share, at(0)));
     let taken_later = (0..10).filter(|_| budget.take(&share, at(0))).count();
     assert_eq!((taken + taken_later) as u32, requests - covered);
