--- a/crates/domain/tests/rollout_fleet.rs
+++ b/crates/domain/tests/rollout_fleet.rs
@@ -1,5 +1,6 @@
-//! A roll-out over a fleet of brokers on a virtual clock: how many requests reach a version, and what becomes of it, while
-//! brokers restart or are cut off and control processes are down. Mutants show that the checks see what they are there for.
+//! A roll-out over a fleet of brokers on a virtual clock: how many requests reach a version, and
+//! what becomes of it, while brokers restart or are cut off and control processes are down. Mutants
+//! show that the checks see what they are there for.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
@@ -22,92 +23,95 @@
 use rstest::rstest;
 
 const BROKERS: usize = 73;
-/// Time of the roll-out, and until the end of a play, in milliseconds.
+/// Duration of the rollout in milliseconds.
 const DURATION: u64 = 12_000;
+/// End of a simulation in milliseconds.
 const END: u64 = 18_000;
-/// Time between two steps of the clock, two reports of a broker, and two looks of control.
+/// Step of the clock in milliseconds.
 const STEP: u64 = 10;
+/// Interval of broker reports and of control rounds in milliseconds.
 const REPORT: u64 = 250;
-/// Time for which a lease lasts.
+/// Duration of a lease in milliseconds.
 const LEASE: u64 = 4_000;
-/// Bad answers after which a version gets no request later than `LAST` from brokers in touch.
+/// Bad answers after which connected brokers must stop sending to a version within `LAST`.
 const KNOWN_BAD: u64 = 50;
 const LAST: u64 = 5_000;
 
-/// What goes wrong.
+/// A failure during the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Trouble {
     Nothing,
-    /// A broker in ten starts anew, each second.
+    /// Every tenth broker restarts, in turn each second.
     BrokersRestart,
-    /// A third of the brokers hear nothing and are not heard between these moments.
+    /// A third of the brokers are partitioned between these times.
     BrokersCutOff(u64, u64),
-    /// Nothing is accepted between these moments, and what is reported meanwhile is lost.
+    /// Control is down between these times; reports sent meanwhile are lost.
     ControlDown(u64, u64),
 }
 
-/// A part that does not do what it should.
+/// A deliberate fault of the implementation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// Brokers stay with the first share that they were told.
+    /// Brokers keep the first share that they received.
     OldShare,
-    /// Control judges by the answers of one broker.
+    /// Control evaluates the answers of one broker only.
     OneBrokerJudged,
-    /// Control forgets to take a version back.
+    /// Control never rolls a version back.
     NoRollBack,
-    /// Brokers that hear nothing go on as if they did.
+    /// Brokers ignore the expiry of their lease.
     NoLease,
 }
 
 struct Broker {
-    /// The stage that it has in force; none while it knows no roll-out.
+    /// The applied rollout; none while no rollout is known.
     rollout: Option<Rollout>,
     fresh_until: u64,
     evidence: Evidence,
 }
 
-struct Play {
+struct Simulation {
     random: Pcg64,
-    /// Requests a second.
+    /// Request rate per second.
     rate: f64,
-    /// Part of the answers of the version that fail, and from when on.
+    /// Fraction of the answers of the version that fail.
     fails: f64,
+    /// Time from which on the version fails.
     from: u64,
     trouble: Trouble,
     mutant: Mutant,
     state: ClusterState,
     index: u64,
     brokers: Vec<Broker>,
-    /// Catalogs on their way to brokers, by when they arrive.
-    under_way: VecDeque<(u64, Catalog)>,
+    /// Catalogs in flight to brokers, with their arrival times.
+    in_flight: VecDeque<(u64, Catalog)>,
     moved_since: Option<u64>,
     requests: u64,
     exposed: u64,
     bad: u64,
     known_bad_at: Option<u64>,
-    /// Requests to the version later than allowed after it was known to be bad.
+    /// Requests to the version after the deadline that follows from `KNOWN_BAD`.
     late: u64,
-    /// Requests to present leaves after the roll-out was completed.
+    /// Requests to present leaves after the rollout was completed.
     after_completion: u64,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, rate: f64, fails: f64, trouble: Trouble, mutant: Mutant) -> Self {
         let broker =
             |_| Broker { rollout: None, fresh_until: LEASE, evidence: Evidence::default() };
-        let mut play = Self {
+        let mut simulation = Self {
             random: Pcg64::seed_from_u64(seed),
             rate,
             fails,
-            // While some brokers cannot be told of it.
+            // The fault starts while some brokers are unreachable.
             from: if matches!(trouble, Trouble::BrokersCutOff(..)) { 2_000 } else { 0 },
             trouble,
             mutant,
             state: ClusterState::default(),
             index: 0,
             brokers: (0..BROKERS).map(broker).collect(),
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             moved_since: None,
             requests: 0,
             exposed: 0,
@@ -125,8 +129,8 @@
         };
         let id = CommandId { session: SessionName::new("operator"), sequence: 1 };
         let change = Change::BeginRollout(order);
-        play.apply(0, CommandBody::Change(ChangeRequest { id, based_on: None, change }));
-        play
+        simulation.apply(0, CommandBody::Change(ChangeRequest { id, based_on: None, change }));
+        simulation
     }
 
     fn draw(&mut self) -> f64 {
@@ -136,7 +140,7 @@
     fn apply(&mut self, now: u64, body: CommandBody) {
         self.index += 1;
         self.state.apply(LogIndex(self.index), &Command { at: WallTime(now), body });
-        self.under_way.push_back((now + 40, self.state.catalog().clone()));
+        self.in_flight.push_back((now + 40, self.state.catalog().clone()));
     }
 
     fn rollout(&self) -> Rollout {
@@ -171,17 +175,17 @@
     }
 
     fn deliver(&mut self, now: u64) {
-        while let Some((at, _)) = self.under_way.front()
+        while let Some((at, _)) = self.in_flight.front()
             && *at <= now
         {
-            let (_, catalog) = self.under_way.pop_front().expect("one is due");
+            let (_, catalog) = self.in_flight.pop_front().expect("one is due");
             for broker in 0..BROKERS {
                 if !self.is_cut_off(now, broker) {
                     self.put_in_force(broker, &catalog);
                 }
             }
         }
-        // A link that heals, or a process that starts, gets what is accepted.
+        // A restored link or a new process receives the accepted catalog.
         let newest = self.state.catalog().clone();
         for broker in 0..BROKERS {
             if self.is_cut_off(now, broker) || self.is_control_down(now) {
@@ -215,17 +219,17 @@
     }
 
     fn request(&mut self, now: u64) {
-        // A few brokers have most of the callers.
+        // Most callers use a few of the brokers.
         let broker = ((self.draw() * self.draw()) * BROKERS as f64) as usize;
         let draw = self.draw();
         let fresh = now < self.brokers[broker].fresh_until || self.mutant == Mutant::NoLease;
-        let standing = RuleContext { is_first: true, draw, is_fresh: fresh };
+        let context = RuleContext { is_first: true, draw, is_fresh: fresh };
         self.requests += 1;
         let Some(rollout) = self.brokers[broker].rollout.clone() else {
             return;
         };
         let to_target =
-            matches!(rules(&rollout, &BTreeSet::new(), standing).first, VersionRule::Only(_));
+            matches!(rules(&rollout, &BTreeSet::new(), context).first, VersionRule::Only(_));
         let fails = to_target && now >= self.from && self.draw() < self.fails;
         if to_target {
             self.exposed += 1;
@@ -294,7 +298,7 @@
         }
     }
 
-    /// What is wrong with the play of a version that fails.
+    /// The violation in a simulation of a failing version, if any.
     fn fault_of_bad(&self) -> Option<String> {
         let limit = ExposureLimit::default();
         let allowed = self.requests * u64::from(limit.share.0) / 1_000_000 + u64::from(limit.slack);
@@ -304,11 +308,11 @@
         if self.exposed > allowed {
             return Some(format!("{} of {allowed} requests", self.exposed));
         }
-        (self.late > 0).then(|| format!("{} requests after it was known", self.late))
+        (self.late > 0).then(|| format!("{} requests after the fault was known", self.late))
     }
 
-    /// What is wrong with the play of a sound version.
-    fn fault_of_sound(&self) -> Option<String> {
+    /// The violation in a simulation of a healthy version, if any.
+    fn fault_of_healthy(&self) -> Option<String> {
         let completed = self.rollout().stage == RolloutStage::Completed;
         if !completed {
             return Some(format!("{:?}", self.rollout().stage));
@@ -324,18 +328,18 @@
     }
 }
 
-/// Faults of this many plays with different seeds.
+/// Violations in twenty simulations with different seeds.
 fn faults_of_bad(rate: f64, fails: f64, trouble: Trouble, mutant: Mutant) -> Vec<String> {
-    let play = |seed| {
-        let mut play = Play::new(seed, rate, fails, trouble, mutant);
-        play.run();
-        play.fault_of_bad()
+    let simulation = |seed| {
+        let mut simulation = Simulation::new(seed, rate, fails, trouble, mutant);
+        simulation.run();
+        simulation.fault_of_bad()
     };
-    (0..20).filter_map(play).collect()
+    (0..20).filter_map(simulation).collect()
 }
 
 #[rstest]
-fn a_version_that_fails_gets_a_bounded_part_and_is_taken_back(
+fn a_failing_version_gets_bounded_requests_and_is_rolled_back(
     #[values(20.0, 100.0, 600.0)] rate: f64,
     #[values(0.4, 1.0)] fails: f64,
     #[values(
@@ -350,27 +354,27 @@
 }
 
 #[rstest]
-fn a_sound_version_is_completed_in_time(
+fn a_healthy_version_is_completed_in_time(
     #[values(60.0, 100.0, 600.0)] rate: f64,
     #[values(Trouble::Nothing, Trouble::BrokersRestart, Trouble::ControlDown(1_500, 4_500))]
     trouble: Trouble,
 ) {
-    let play = |seed| {
-        let mut play = Play::new(seed, rate, 0.0, trouble, Mutant::None);
-        play.run();
-        play.fault_of_sound()
+    let simulation = |seed| {
+        let mut simulation = Simulation::new(seed, rate, 0.0, trouble, Mutant::None);
+        simulation.run();
+        simulation.fault_of_healthy()
     };
-    let faults: Vec<String> = (0..20).filter_map(play).collect();
+    let faults: Vec<String> = (0..20).filter_map(simulation).collect();
     assert_eq!(faults, Vec::<String>::new());
 }
 
-/// A mutant is found when most plays show its fault.
+/// A mutant is detected if most simulations show its fault.
 #[rstest]
 #[case::brokers_with_an_old_share(Mutant::OldShare, Trouble::Nothing)]
 #[case::judged_by_one_broker(Mutant::OneBrokerJudged, Trouble::Nothing)]
-#[case::nothing_taken_back(Mutant::NoRollBack, Trouble::Nothing)]
+#[case::nothing_rolled_back(Mutant::NoRollBack, Trouble::Nothing)]
 #[case::no_lease(Mutant::NoLease, Trouble::BrokersCutOff(1_000, 18_000))]
-fn a_mutant_is_found(#[case] mutant: Mutant, #[case] trouble: Trouble) {
+fn a_mutant_is_detected(#[case] mutant: Mutant, #[case] trouble: Trouble) {
     let faults = faults_of_bad(600.0, 1.0, trouble, mutant);
     println!("{mutant:?}: {} of 20, first {:?}", faults.len(), faults.first());
     assert!(faults.len() > 10, "{} of 20", faults.len());
--- a/crates/domain/tests/rollout_judgement.rs
+++ b/crates/domain/tests/rollout_judgement.rs
@@ -1,4 +1,5 @@
-//! Good and bad versions, replayed answer by answer: how often the judgement is wrong either way, beside a fixed rule.
+//! Replays healthy and faulty versions answer by answer, to determine the false positives and false
+//! negatives of the evaluation, compared to a fixed rule.
 
 use std::time::Duration;
 
@@ -11,41 +12,41 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Looks at the answers in a roll-out of twelve seconds up to the moment when all requests would move.
+/// Evaluations in a rollout of twelve seconds until all requests would move.
 const LOOKS: u32 = 32;
-/// Roll-outs of each kind.
+/// Rollouts per case.
 const ROLLOUTS: u64 = 200;
-/// Leaves of the version.
+/// Number of leaves of the version.
 const LEAVES: u64 = 3;
 const ROUTES: [(&str, f64); 2] = [("wide", 20.0), ("narrow", 7.0)];
 
-/// What ails leaves.
+/// A fault of leaves.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     None,
-    /// This part of the answers tells of failures.
+    /// Fraction of the answers that report failures.
     Failing(f64),
-    /// This part of the answers takes five times as long.
+    /// Fraction of the answers that take five times as long.
     Slow(f64),
 }
 
-/// A version, and what happens around it.
+/// A version and the conditions of its rollout.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     version: Fault,
-    /// The look from which on the version is faulty.
+    /// The evaluation from which on the version is faulty.
     from: u32,
-    /// The only route on which it is.
+    /// The only faulty route; none for all routes.
     route: Option<&'static str>,
-    /// The only leaf of the version that is faulty, by itself.
+    /// The only faulty leaf of the version; none for all leaves.
     leaf: Option<u64>,
-    /// What ails present leaves, too.
+    /// Fault of the present leaves.
     present: Fault,
-    /// Answers of the version at a look.
+    /// Answers of the version per evaluation.
     trial_answers: u64,
 }
 
-const SOUND: Case = Case {
+const HEALTHY: Case = Case {
     version: Fault::None,
     from: 0,
     route: None,
@@ -65,7 +66,7 @@
         (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// One answer: most take about what is usual, and one leaf in 24 pauses at any time.
+    /// One answer: most take about the usual latency, and one leaf in 24 is paused at any time.
     fn answer(&mut self, usual_ms: f64, fault: Fault, started_ms: u32) -> OutcomeCounts {
         let mut tally = OutcomeCounts::default();
         let is_hit = |draw: f64, part: f64| draw < part;
@@ -100,7 +101,7 @@
             let applies = look >= self.case.from
                 && self.case.route.is_none_or(|only| only == route)
                 && self.case.leaf.is_none_or(|only| only == leaf);
-            // What ails all leaves ails those of the version, too.
+            // A fault of all leaves also affects those of the version.
             let fault = if applies { self.case.version } else { self.case.present };
             let answer = self.answer(usual_ms, fault, look * 250);
             let leaves = self.evidence.target.entry(stratum).or_default();
@@ -110,12 +111,12 @@
     }
 }
 
-/// What came of one roll-out: taken back, with how many bad answers, or what was thought of it at its end.
+/// Outcome of one rollout: rolled back after a number of bad answers, or the last evaluation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
-    TakenBack { cause: RollBackCause, bad: u64 },
-    Sound,
-    Open,
+    RolledBack { cause: RollBackCause, bad: u64 },
+    Healthy,
+    Inconclusive,
 }
 
 fn replay(case: Case, seed: u64, evaluate: impl Fn(&Evidence) -> Verdict) -> End {
@@ -127,13 +128,14 @@
         last = evaluate(&replay.evidence);
         if let Verdict::Regressed(cause) = last {
             let target = compare(&replay.evidence, None).target;
-            return End::TakenBack { cause, bad: target.failed + target.slow };
+            return End::RolledBack { cause, bad: target.failed + target.slow };
         }
     }
-    if last == Verdict::Healthy { End::Sound } else { End::Open }
+    if last == Verdict::Healthy { End::Healthy } else { End::Inconclusive }
 }
 
-/// The way that was not taken: twenty answers, and twice the share of bad answers of present leaves.
+/// A fixed rule for comparison: after twenty answers, a version is bad if its share of bad answers
+/// is more than twice that of present leaves.
 fn fixed_rule(evidence: &Evidence) -> Verdict {
     let compared = compare(evidence, None);
     let share = |counts: gingerkeel_domain::rollout::AnswerCounts| {
@@ -156,87 +158,87 @@
     ends.iter().filter(|end| wanted(end)).count()
 }
 
-fn taken_back(end: &End) -> bool {
-    matches!(end, End::TakenBack { .. })
+fn rolled_back(end: &End) -> bool {
+    matches!(end, End::RolledBack { .. })
 }
 
-/// One in a hundred at most.
+/// At most one in a hundred is rolled back.
 #[rstest]
-#[case::all_is_well(SOUND)]
-#[case::many_requests(Case { trial_answers: 8, ..SOUND })]
-#[case::all_leaves_fail_at_times(Case { present: Fault::Failing(0.2), ..SOUND })]
-#[case::all_leaves_are_slow_at_times(Case { present: Fault::Slow(0.3), ..SOUND })]
-fn a_sound_version_is_hardly_ever_taken_back(#[case] case: Case) {
-    let wrong = count(&ends(case, evaluate), taken_back) as u64;
-    println!("{case:?}: {wrong} of {ROLLOUTS} taken back");
+#[case::all_is_well(HEALTHY)]
+#[case::many_requests(Case { trial_answers: 8, ..HEALTHY })]
+#[case::all_leaves_fail_at_times(Case { present: Fault::Failing(0.2), ..HEALTHY })]
+#[case::all_leaves_are_slow_at_times(Case { present: Fault::Slow(0.3), ..HEALTHY })]
+fn a_healthy_version_is_rarely_rolled_back(#[case] case: Case) {
+    let wrong = count(&ends(case, evaluate), rolled_back) as u64;
+    println!("{case:?}: {wrong} of {ROLLOUTS} rolled back");
     assert!(wrong * 100 <= ROLLOUTS, "{wrong} of {ROLLOUTS}");
 }
 
-/// One in fifty at most, while one of three leaves ails all the time.
+/// At most one in fifty is rolled back while one of three leaves is faulty all the time.
 #[rstest]
-#[case::slow(Case { version: Fault::Slow(1.0), leaf: Some(0), ..SOUND })]
-#[case::failing(Case { version: Fault::Failing(0.9), leaf: Some(1), ..SOUND })]
-fn a_leaf_that_ails_by_itself_does_not_condemn_its_version(#[case] case: Case) {
-    let wrong = count(&ends(case, evaluate), taken_back) as u64;
-    println!("{case:?}: {wrong} of {ROLLOUTS} taken back");
+#[case::slow(Case { version: Fault::Slow(1.0), leaf: Some(0), ..HEALTHY })]
+#[case::failing(Case { version: Fault::Failing(0.9), leaf: Some(1), ..HEALTHY })]
+fn a_single_faulty_leaf_does_not_roll_back_its_version(#[case] case: Case) {
+    let wrong = count(&ends(case, evaluate), rolled_back) as u64;
+    println!("{case:?}: {wrong} of {ROLLOUTS} rolled back");
     assert!(wrong * 50 <= ROLLOUTS, "{wrong} of {ROLLOUTS}");
 }
 
 #[rstest]
-#[case::all_is_well(SOUND)]
-#[case::many_requests(Case { trial_answers: 8, ..SOUND })]
-#[case::all_leaves_fail_at_times(Case { present: Fault::Failing(0.1), ..SOUND })]
-fn a_sound_version_is_found_to_be_so(#[case] case: Case) {
-    let found = count(&ends(case, evaluate), |end| *end == End::Sound);
-    println!("{case:?}: {found} of {ROLLOUTS} found sound");
+#[case::all_is_well(HEALTHY)]
+#[case::many_requests(Case { trial_answers: 8, ..HEALTHY })]
+#[case::all_leaves_fail_at_times(Case { present: Fault::Failing(0.1), ..HEALTHY })]
+fn a_healthy_version_is_recognised(#[case] case: Case) {
+    let found = count(&ends(case, evaluate), |end| *end == End::Healthy);
+    println!("{case:?}: {found} of {ROLLOUTS} found healthy");
     assert!(found as u64 >= ROLLOUTS * 95 / 100, "{found} of {ROLLOUTS}");
 }
 
 #[rstest]
-#[case::fails(Case { version: Fault::Failing(1.0), ..SOUND })]
-#[case::fails_half(Case { version: Fault::Failing(0.5), ..SOUND })]
-#[case::fails_a_third(Case { version: Fault::Failing(0.33), ..SOUND })]
-#[case::fails_on_one_route(Case { version: Fault::Failing(0.6), route: Some("narrow"), ..SOUND })]
-#[case::fails_later(Case { version: Fault::Failing(0.6), from: 16, ..SOUND })]
-#[case::slow(Case { version: Fault::Slow(1.0), ..SOUND })]
-#[case::slow_half(Case { version: Fault::Slow(0.5), ..SOUND })]
-#[case::slow_on_one_route(Case { version: Fault::Slow(1.0), route: Some("wide"), ..SOUND })]
-#[case::slow_later(Case { version: Fault::Slow(1.0), from: 16, ..SOUND })]
+#[case::fails(Case { version: Fault::Failing(1.0), ..HEALTHY })]
+#[case::fails_half(Case { version: Fault::Failing(0.5), ..HEALTHY })]
+#[case::fails_a_third(Case { version: Fault::Failing(0.33), ..HEALTHY })]
+#[case::fails_on_one_route(Case { version: Fault::Failing(0.6), route: Some("narrow"), ..HEALTHY })]
+#[case::fails_later(Case { version: Fault::Failing(0.6), from: 16, ..HEALTHY })]
+#[case::slow(Case { version: Fault::Slow(1.0), ..HEALTHY })]
+#[case::slow_half(Case { version: Fault::Slow(0.5), ..HEALTHY })]
+#[case::slow_on_one_route(Case { version: Fault::Slow(1.0), route: Some("wide"), ..HEALTHY })]
+#[case::slow_later(Case { version: Fault::Slow(1.0), from: 16, ..HEALTHY })]
 #[case::fails_while_all_fail_at_times(
-    Case { version: Fault::Failing(0.7), present: Fault::Failing(0.1), ..SOUND }
+    Case { version: Fault::Failing(0.7), present: Fault::Failing(0.1), ..HEALTHY }
 )]
-fn a_bad_version_is_taken_back_within_dozens_of_bad_answers(#[case] case: Case) {
+fn a_faulty_version_is_rolled_back_within_dozens_of_bad_answers(#[case] case: Case) {
     let ends = ends(case, evaluate);
-    let passed = count(&ends, |end| *end == End::Sound);
-    let found = count(&ends, taken_back);
+    let passed = count(&ends, |end| *end == End::Healthy);
+    let found = count(&ends, rolled_back);
     let most = ends.iter().map(|end| match end {
-        End::TakenBack { bad, .. } => *bad,
-        End::Sound | End::Open => 0,
+        End::RolledBack { bad, .. } => *bad,
+        End::Healthy | End::Inconclusive => 0,
     });
     let most = most.max().unwrap_or_default();
-    println!("{case:?}: {found} of {ROLLOUTS} taken back, {passed} passed, {most} bad at most");
-    assert!(passed <= 2, "{passed} of {ROLLOUTS} passed for sound");
-    assert!(most <= 40, "{most} bad answers before one was taken back");
+    println!("{case:?}: {found} of {ROLLOUTS} rolled back, {passed} passed, {most} bad at most");
+    assert!(passed <= 2, "{passed} of {ROLLOUTS} passed as healthy");
+    assert!(most <= 40, "{most} bad answers before one was rolled back");
 }
 
 #[rstest]
 #[case(Fault::Failing(0.5), RollBackCause::Failing)]
 #[case(Fault::Slow(1.0), RollBackCause::Slow)]
-fn the_cause_is_told(#[case] version: Fault, #[case] expected: RollBackCause) {
-    let case = Case { version, ..SOUND };
-    let other = |end: &End| matches!(end, End::TakenBack { cause, .. } if *cause != expected);
+fn the_cause_is_reported(#[case] version: Fault, #[case] expected: RollBackCause) {
+    let case = Case { version, ..HEALTHY };
+    let other = |end: &End| matches!(end, End::RolledBack { cause, .. } if *cause != expected);
     assert_eq!(count(&ends(case, evaluate), other), 0);
 }
 
 #[test]
-fn no_answers_say_nothing() {
+fn missing_answers_are_inconclusive() {
     assert_eq!(evaluate(&Evidence::default()), Verdict::Inconclusive);
 }
 
 #[test]
-fn a_fixed_rule_takes_far_more_sound_versions_back() {
-    let judged = count(&ends(SOUND, evaluate), taken_back);
-    let fixed = count(&ends(SOUND, fixed_rule), taken_back);
-    println!("of {ROLLOUTS} sound versions: {judged} taken back, {fixed} by the fixed rule");
+fn a_fixed_rule_rolls_back_far_more_healthy_versions() {
+    let judged = count(&ends(HEALTHY, evaluate), rolled_back);
+    let fixed = count(&ends(HEALTHY, fixed_rule), rolled_back);
+    println!("of {ROLLOUTS} healthy versions: {judged} rolled back, {fixed} by the fixed rule");
     assert!(judged * 10 < fixed, "{judged} and {fixed}");
 }
--- a/crates/domain/tests/rollout_plan.rs
+++ b/crates/domain/tests/rollout_plan.rs
@@ -1,4 +1,5 @@
-//! When roll-outs go on, and how many requests a version gets before it is known to be sound.
+//! Stage transitions of rollouts, and the requests sent to a version before it is known to be
+//! healthy.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use rstest::rstest;
 
 const DURATION_MS: u64 = 12_000;
-/// Time between two looks.
+/// Evaluation interval.
 const LOOK: Duration = Duration::from_millis(250);
 
 fn rollout(stage: RolloutStage) -> Rollout {
@@ -30,7 +31,7 @@
     rollout(RolloutStage::Trial { share: PartsPerMillion(share) })
 }
 
-/// So many ordinary answers of present leaves, and of two leaves of the version.
+/// Evidence with ordinary answers of present leaves and of two leaves of the version.
 fn answers(present: u32, target: u32) -> Evidence {
     let stratum = Stratum { route: "search".into(), distance: Distance::Zone };
     let ordinary = LatencyBucket::of(Duration::from_millis(20));
@@ -56,7 +57,7 @@
 #[case::proved(trial(50_000), answers(700, 60), 8.5, true)]
 #[case::too_few_answers(trial(50_000), answers(700, 10), 8.5, false)]
 #[case::no_answers(trial(50_000), answers(700, 0), 8.5, false)]
-fn all_requests_move_once_the_version_is_proved(
+fn all_requests_move_once_the_version_is_healthy(
     #[case] rollout: Rollout,
     #[case] evidence: Evidence,
     #[case] elapsed: f64,
@@ -67,14 +68,14 @@
 }
 
 #[test]
-fn a_version_that_is_not_proved_in_time_is_taken_back() {
+fn a_version_without_enough_evidence_in_time_is_rolled_back() {
     let expected = Some(RolloutStage::RolledBack(RollBackCause::NotProven));
     assert_eq!(next_stage(&trial(50_000), &answers(1_000, 3), after(12.0)), expected);
     assert_eq!(next_stage(&trial(50_000), &Evidence::default(), after(12.0)), expected);
 }
 
 #[test]
-fn more_requests_go_to_a_proved_version_before_all_do() {
+fn a_healthy_version_gets_a_larger_share_before_all_requests() {
     let next = next_stage(&trial(80_000), &answers(700, 60), after(7.5));
     assert!(
         matches!(next, Some(RolloutStage::Trial { share }) if share > PartsPerMillion(80_000)),
@@ -98,14 +99,14 @@
 #[rstest]
 #[case(RolloutStage::Completed)]
 #[case(RolloutStage::RolledBack(RollBackCause::Slow))]
-fn an_outcome_stays(#[case] outcome: RolloutStage) {
+fn a_final_stage_does_not_change(#[case] outcome: RolloutStage) {
     let progress =
         Progress { elapsed: Duration::from_secs(60), everywhere_for: Some(Duration::from_secs(9)) };
     assert_eq!(next_stage(&rollout(outcome), &answers(700, 60), progress), None);
 }
 
-/// Requests that reach a version up to the moment when it is taken for sound, with requests at a steady rate or one
-/// that changes halfway.
+/// All requests, and those sent to the version until the end of the trial, at a request rate that
+/// may change halfway.
 fn exposed(early_rate: f64, late_rate: f64) -> (f64, f64) {
     let limit = ExposureLimit::default();
     let mut rollout = trial(limit.share.0 / 2);
--- a/crates/domain/tests/rollouts.rs
+++ b/crates/domain/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders of roll-outs, their stages, and which versions requests may go to.
+//! Rollout orders, stage transitions and version rules.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     catalog.rollouts().get(&ServiceName::new("search")).expect("a roll-out").stage
 }
 
-/// A catalog whose roll-out of v2 has come through these stages.
+/// A catalog whose rollout of v2 has passed through `stages`.
 fn after(stages: &[RolloutStage]) -> Catalog {
     let mut catalog = Catalog::default();
     begin(&mut catalog, &order("v2")).expect("it begins");
@@ -101,7 +101,7 @@
 #[case::by_a_clock_that_is_behind(-5_000, &[])]
 #[case::after_it_was_taken_back(8_000, &[FAILED])]
 #[case::after_it_was_completed(8_000, &[RolloutStage::Moving, RolloutStage::Completed])]
-fn an_order_that_comes_again_is_taken_and_changes_nothing(
+fn a_retried_order_is_accepted_and_changes_nothing(
     #[case] later_ms: i64,
     #[case] stages: &[RolloutStage],
 ) {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_order_that_comes_again_after_another_one_does_not_bring_its_version_back() {
+fn a_retried_order_after_another_one_does_not_restore_its_version() {
     let mut catalog = after(&[FAILED]);
     begin(&mut catalog, &order("v3")).expect("it begins");
     assert!(begin(&mut catalog, &order("v2")).is_ok());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_version_that_was_taken_back_can_be_ordered_anew_later() {
+fn a_rolled_back_version_can_be_ordered_again_later() {
     let mut catalog = after(&[FAILED]);
     let later = RolloutOrder { ordered_at_ms: ORDERED + 3_600_000, ..order("v2") };
     assert!(begin(&mut catalog, &later).is_ok());
@@ -146,15 +146,15 @@
 #[case::no_time(RolloutOrder { duration_ms: 0, ..order("v2") })]
 #[case::endless(RolloutOrder { duration_ms: u64::MAX, ..order("v2") })]
 #[case::no_version(order(""))]
-fn an_order_that_makes_no_sense_is_refused(#[case] senseless: RolloutOrder) {
+fn an_invalid_order_is_refused(#[case] invalid: RolloutOrder) {
     let mut catalog = Catalog::default();
-    let refused = begin(&mut catalog, &senseless);
+    let refused = begin(&mut catalog, &invalid);
     assert!(matches!(refused, Err(CatalogError::Rollout(RolloutError::Unusable(_)))));
     assert!(catalog.rollouts().is_empty());
 }
 
 #[test]
-fn roll_outs_of_two_services_do_not_touch_each_other() {
+fn rollouts_of_two_services_are_independent() {
     let mut catalog = after(&[]);
     let other = RolloutOrder { service: ServiceName::new("archive"), ..order("v3") };
     begin(&mut catalog, &other).expect("it begins");
@@ -166,7 +166,7 @@
 const DRAWN: RuleContext = RuleContext { is_first: true, draw: 0.049, is_fresh: true };
 const NOT_DRAWN: RuleContext = RuleContext { is_first: true, draw: 0.051, is_fresh: true };
 const HEDGE: RuleContext = RuleContext { is_first: false, draw: 0.0, is_fresh: true };
-const OUT_OF_TOUCH: RuleContext = RuleContext { is_first: true, draw: 0.0, is_fresh: false };
+const STALE: RuleContext = RuleContext { is_first: true, draw: 0.0, is_fresh: false };
 
 fn target_first() -> VersionRules {
     let target = SoftwareVersion::new("v2");
@@ -184,23 +184,23 @@
 #[case::trial_drawn(&[], DRAWN, target_first())]
 #[case::trial_not_drawn(&[], NOT_DRAWN, present_only())]
 #[case::trial_hedge_or_retry(&[], HEDGE, present_only())]
-#[case::trial_out_of_touch(&[], OUT_OF_TOUCH, present_only())]
+#[case::trial_stale(&[], STALE, present_only())]
 #[case::moving(&[RolloutStage::Moving], NOT_DRAWN, target_first())]
 #[case::moving_hedge(&[RolloutStage::Moving], HEDGE, target_first())]
-#[case::moving_out_of_touch(&[RolloutStage::Moving], OUT_OF_TOUCH, target_first())]
+#[case::moving_stale(&[RolloutStage::Moving], STALE, target_first())]
 #[case::completed(&[RolloutStage::Moving, RolloutStage::Completed], NOT_DRAWN, target_first())]
-#[case::completed_out_of_touch(
-    &[RolloutStage::Moving, RolloutStage::Completed], OUT_OF_TOUCH, target_first()
+#[case::completed_stale(
+    &[RolloutStage::Moving, RolloutStage::Completed], STALE, target_first()
 )]
 #[case::rolled_back(&[FAILED], DRAWN, present_only())]
 fn requests_go_to_versions(
     #[case] stages: &[RolloutStage],
-    #[case] standing: RuleContext,
+    #[case] context: RuleContext,
     #[case] expected: VersionRules,
 ) {
     let catalog = after(stages);
     let newest = catalog.rollouts().get(&ServiceName::new("search")).expect("a roll-out");
-    assert_eq!(rules(newest, &BTreeSet::new(), standing), expected);
+    assert_eq!(rules(newest, &BTreeSet::new(), context), expected);
 }
 
 #[test]
@@ -208,18 +208,18 @@
     assert_eq!(order("v2").duration(), Duration::from_secs(12));
 }
 
-/// The rules for a request of a broker that knows the newest word, whose lot draws the target.
+/// The rules for a request at a broker with a current catalog, drawn for the target version.
 fn rules_in(catalog: &Catalog) -> VersionRules {
-    let standing = RuleContext { is_first: true, draw: 0.0, is_fresh: true };
-    catalog.rollouts().rules(&ServiceName::new("search"), standing)
+    let context = RuleContext { is_first: true, draw: 0.0, is_fresh: true };
+    catalog.rollouts().rules(&ServiceName::new("search"), context)
 }
 
-/// A leaf of the version that failed runs on while the next one is rolled out.
+/// A leaf of the failed version still runs while the next version is rolled out.
 #[rstest]
 #[case::trial(&[])]
 #[case::moving(&[WIDER, RolloutStage::Moving])]
 #[case::taken_back(&[FAILED])]
-fn a_version_that_was_taken_back_does_not_pass_for_a_present_one(#[case] stages: &[RolloutStage]) {
+fn a_rolled_back_version_does_not_count_as_a_present_one(#[case] stages: &[RolloutStage]) {
     let mut catalog = after(&[FAILED]);
     begin(&mut catalog, &order("v3")).expect("the next one");
     for stage in stages {
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_version_that_was_taken_back_may_be_ordered_again() {
+fn a_rolled_back_version_may_be_ordered_again() {
     let mut catalog = after(&[FAILED]);
     begin(&mut catalog, &order("v3")).expect("another");
     advance(&mut catalog, FAILED).expect("it goes on");
