--- a/crates/domain/tests/tenants.rs
+++ b/crates/domain/tests/tenants.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_key_belongs_to_its_tenant_alone() {
+fn a_key_identifies_exactly_one_tenant() {
     let index = KeyIndex::new(vec![tenant("a", &["k1", "k2"]), tenant("b", &["k3"])]);
     let holder = |key: &str| {
         let found = index.holder(&KeyDigest::of(key.as_bytes()));
@@ -85,25 +85,25 @@
         [Some("a"), Some("a"), Some("b"), None, None, None]
     );
     assert!(index.is_required());
-    assert!(KeyIndex::new(vec![tenant("a", &[])]).is_required(), "though nobody can call");
+    assert!(KeyIndex::new(vec![tenant("a", &[])]).is_required(), "even without any key");
     assert!(!KeyIndex::default().is_required());
 }
 
 #[test]
-fn what_is_printed_of_a_tenant_tells_no_whole_digest() {
+fn debug_output_of_a_tenant_contains_no_full_digest() {
     let digest = KeyDigest::of(b"k1");
     let printed = format!("{:?}", tenant("a", &["k1"]));
     assert!(printed.contains(&format!("{digest:?}")), "{printed}");
     assert!(printed.len() < 250, "{printed}");
 }
 
-/// Ranks are places among the priorities that requests to the leaves may have.
+/// A rank is the position of a priority among those that requests to leaves can have.
 #[rstest]
 #[case::tenant_before_route(route("urgent", 0), Some(ranked("a", 7)), 2)]
 #[case::highest(route("batch", 5), Some(ranked("b", 1)), 0)]
 #[case::priority_of_the_route(route("batch", 5), Some(tenant("c", &[])), 1)]
 #[case::public(route("open", 3), None, 1)]
-fn the_priority_of_a_tenant_goes_before_that_of_the_route(
+fn the_priority_of_a_tenant_overrides_that_of_the_route(
     #[case] asked: Route,
     #[case] caller: Option<Tenant>,
     #[case] rank: u32,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_priority_that_no_request_has_takes_no_rank() {
+fn an_unused_priority_has_no_rank() {
     let routes = vec![route("urgent", 0), route("batch", 5)];
     let tenants = vec![ranked("a", 3), ranked("b", 9)];
     let (high, low) = (Arc::new(tenants[0].clone()), Arc::new(tenants[1].clone()));
@@ -134,7 +134,7 @@
 #[case::both_allow(&["south", "west"], &["south"], Some("south"), true)]
 #[case::only_the_route_allows(&["south", "west"], &["south"], Some("west"), false)]
 #[case::nothing_in_common(&["west"], &["south"], Some("south"), false)]
-fn regions_of_tenant_and_route_both_bind(
+fn regions_of_tenant_and_route_both_apply(
     #[case] of_route: &[&str],
     #[case] of_tenant: &[&str],
     #[case] region: Option<&str>,
