--- a/crates/domain/tests/rollout_fleet.rs
+++ b/crates/domain/tests/rollout_fleet.rs
@@ -1,6 +1,6 @@
-//! A roll-out over a fleet of brokers on a virtual clock: how many requests reach a version, and
-//! what becomes of it, while brokers restart or are cut off and control processes are down. Mutants
-//! show that the checks see what they are there for.
+//! Simulates a rollout over a fleet of brokers on a virtual clock: how many requests reach a
+//! version, and its final stage, while brokers restart or are partitioned and control processes are
+//! down. Mutants verify that the checks detect the faults they guard against.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
