--- a/crates/domain/src/consensus/appending.rs
+++ b/crates/domain/src/consensus/appending.rs
@@ -1,4 +1,4 @@
-//! A follower's side of the log.
+//! Log replication on a follower.
 
 use super::message::{AppendOutcome, Message, ReadRound};
 use super::node::Node;
@@ -18,7 +18,7 @@
         self.follow(now, from);
         let mut previous = previous;
         if previous.index < self.commit {
-            // Committed entries are the leader's own.
+            // Committed entries always match the leader's log, so only later ones are compared.
             entries.retain(|entry| entry.index > self.commit);
             let term = self.log.term_at(self.commit).unwrap_or(previous.term);
             previous = LogPosition { term, index: self.commit };
@@ -29,15 +29,15 @@
             self.commit = self.commit.max(commit.min(matched));
             AppendOutcome::Accepted { matched }
         } else {
-            let hint = self.agreement_hint(previous.index);
+            let hint = self.conflict_hint(previous.index);
             AppendOutcome::Rejected { previous: previous.index, hint }
         };
         self.send(from, Message::AppendResponse { outcome, round });
     }
 
-    /// Takes entries whose predecessor matches; entries of other terms give way.
+    /// Appends entries whose predecessor matches, replacing conflicting ones.
     fn merge(&mut self, entries: Vec<Entry>) {
-        let Some(first) = self.log.first_difference(&entries) else {
+        let Some(first) = self.log.first_conflict(&entries) else {
             return;
         };
         if first <= self.log.last().index {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Appends an entry; a configuration counts from here on.
+    /// Appends an entry; a configuration in it is in force at once.
     pub(super) fn append_entry(&mut self, entry: Entry) {
         if let Payload::Configuration(configuration) = &entry.payload {
             self.configurations.push(entry.index, configuration.clone());
@@ -57,8 +57,8 @@
         self.log.push(entry);
     }
 
-    /// An entry before `rejected` up to which the logs may agree: the last of an earlier term.
-    fn agreement_hint(&self, rejected: LogIndex) -> LogIndex {
+    /// Highest index before `rejected` at which the logs may match: the last entry of another term.
+    fn conflict_hint(&self, rejected: LogIndex) -> LogIndex {
         let last = self.log.last().index;
         if rejected > last {
             return last;
--- a/crates/domain/src/consensus/configuration.rs
+++ b/crates/domain/src/consensus/configuration.rs
@@ -1,4 +1,4 @@
-//! Who is a member, and changes of the members, one at a time.
+//! Cluster membership and single-member changes to it.
 
 use std::collections::BTreeSet;
 
@@ -7,48 +7,48 @@
 use super::error::MemberChangeError;
 use super::types::{LogIndex, MemberId};
 
-/// The members of the cluster.
+/// Voters and learners of the cluster.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Members whose votes and copies count.
+    /// Members that count towards quorums.
     pub voters: BTreeSet<MemberId>,
-    /// Members that only receive the log.
+    /// Members that receive the log but count towards no quorum.
     pub learners: BTreeSet<MemberId>,
 }
 
 /// A change of one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberChange {
-    /// Adds a member that receives the log without counting.
+    /// Adds a member as a learner.
     AddLearner(MemberId),
     /// Makes a learner a voter.
     Promote(MemberId),
-    /// Takes a member out.
+    /// Removes a voter or learner.
     Remove(MemberId),
 }
 
 impl Configuration {
-    /// A configuration of voters alone.
+    /// A configuration without learners.
     pub fn of_voters(voters: impl IntoIterator<Item = MemberId>) -> Self {
         Self { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// Voters and learners.
+    /// All members, voters first.
     pub fn members(&self) -> impl Iterator<Item = MemberId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// Whether the member is one, as voter or learner.
+    /// Whether `member` is a voter or a learner.
     pub fn contains(&self, member: MemberId) -> bool {
         self.voters.contains(&member) || self.learners.contains(&member)
     }
 
-    /// Number of voters that make a quorum.
+    /// Number of voters that form a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether a quorum of voters fulfils `condition`.
+    /// Whether a quorum of voters satisfies `condition`.
     pub fn has_quorum(&self, condition: impl Fn(MemberId) -> bool) -> bool {
         let count = self.voters.iter().filter(|voter| condition(**voter)).count();
         !self.voters.is_empty() && count >= self.quorum()
@@ -57,7 +57,7 @@
     /// The configuration after a change.
     ///
     /// # Errors
-    /// A [`MemberChangeError`] when the change does not fit the members.
+    /// A [`MemberChangeError`] when the change is not valid for this membership.
     pub fn changed(&self, change: MemberChange) -> Result<Self, MemberChangeError> {
         let mut next = self.clone();
         match change {
@@ -68,7 +68,7 @@
         Ok(next)
     }
 
-    /// Whether the change has been made, so that asking for it again changes nothing.
+    /// Whether the change is already in effect, which makes a repeated request a no-op.
     pub fn reflects(&self, change: MemberChange) -> bool {
         match change {
             MemberChange::AddLearner(member) => self.contains(member),
@@ -79,9 +79,9 @@
 
     /// The next change that replaces a lost data folder, if one is due.
     ///
-    /// A machine that rejoined with a new folder is promoted first and its old identity removed
-    /// afterwards, so that the number of copies never falls. `caught_up` tells whether a learner
-    /// may be promoted.
+    /// A machine that rejoined with a new folder is promoted before its old identity is removed,
+    /// so that the number of replicas never falls. `caught_up` says whether a learner may be
+    /// promoted.
     pub fn replacement(&self, caught_up: impl Fn(MemberId) -> bool) -> Option<MemberChange> {
         let superseded = |old: MemberId| {
             self.members().find(|new| new.node == old.node && new.incarnation > old.incarnation)
@@ -132,14 +132,14 @@
     }
 }
 
-/// A configuration and the entry that brought it.
+/// A configuration and the index of its entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct ConfigurationAt {
     index: LogIndex,
     configuration: Configuration,
 }
 
-/// The configurations of the log that is kept; the latest counts, committed or not.
+/// Configurations in the retained log; the latest is in force, committed or not.
 #[derive(Debug, Clone)]
 pub(super) struct ConfigurationHistory {
     base: ConfigurationAt,
@@ -155,7 +155,7 @@
         &self.latest().configuration
     }
 
-    /// Index of the entry that brought the current configuration.
+    /// Index of the entry that holds the current configuration.
     pub fn current_index(&self) -> LogIndex {
         self.latest().index
     }
@@ -170,12 +170,12 @@
         self.later.push(ConfigurationAt { index, configuration });
     }
 
-    /// Forgets the configurations of entries from `index` on, which were overwritten.
+    /// Drops the configurations of overwritten entries, from `index` on.
     pub fn truncate_from(&mut self, index: LogIndex) {
         self.later.retain(|candidate| candidate.index < index);
     }
 
-    /// Forgets the configurations that are not needed for entries from `index` on.
+    /// Drops the configurations superseded at or before `index`.
     pub fn compact(&mut self, index: LogIndex) {
         while self.later.first().is_some_and(|first| first.index <= index) {
             self.base = self.later.remove(0);
--- a/crates/domain/src/consensus/election.rs
+++ b/crates/domain/src/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, and the way back to a follower.
+//! Elections: pre-vote, votes and stepping down to follower.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::time::Timestamp;
 
 impl Node {
-    /// Asks the other voters whether they would vote for this member, before it opens a term.
+    /// Asks the other voters whether they would vote for this member, before it starts a term.
     pub(super) fn start_pre_vote(&mut self, now: Timestamp) {
         self.reset_election_timer(now);
         if !self.is_voter() || !self.storage_available {
@@ -35,7 +35,7 @@
         term: Term,
         last: LogPosition,
     ) {
-        if self.hears_leader(now) {
+        if self.has_active_leader(now) {
             return;
         }
         if term > self.hard_state.term && last >= self.log.last() {
@@ -109,12 +109,12 @@
         }
     }
 
-    /// Whether a leader is known to be in office: it was heard from within the election timeout.
-    pub(super) fn hears_leader(&self, now: Timestamp) -> bool {
+    /// Whether this member leads or heard from a leader within the election timeout.
+    pub(super) fn has_active_leader(&self, now: Timestamp) -> bool {
         match self.role {
             Role::Leader(_) => true,
             _ => {
-                let silence = now.since(self.leader_heard);
+                let silence = now.since(self.leader_last_contact);
                 self.leader.is_some() && silence < self.settings.election_timeout
             }
         }
@@ -130,11 +130,11 @@
         self.reset_election_timer(now);
     }
 
-    /// A leader of the present term was heard from.
+    /// Follows the leader of the current term after a message from it.
     pub(super) fn follow(&mut self, now: Timestamp, leader: MemberId) {
         self.role = Role::Follower;
         self.leader = Some(leader);
-        self.leader_heard = now;
+        self.leader_last_contact = now;
         self.reset_election_timer(now);
     }
 
--- a/crates/domain/src/consensus/error.rs
+++ b/crates/domain/src/consensus/error.rs
@@ -1,4 +1,4 @@
-//! Reasons why the core refuses a request.
+//! Errors of proposals, reads and membership changes.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,20 @@
 use super::types::MemberId;
 
 quick_error! {
-    /// A command that was not taken into the log.
+    /// A command that was rejected before it entered the log.
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
     pub enum ProposeError {
-        /// No leader is known at the moment.
+        /// No leader is currently known.
         NoLeader {
-            display("no leader is known: send the command again in a second, or ask a control process of the side that has a quorum")
+            display("no leader is known: retry in a second, or send the command to a control process on the side of the partition that has a quorum")
         }
-        /// Too much waits to be committed.
+        /// The limit of uncommitted entries is reached.
         Overloaded {
-            display("too many commands wait to be committed: send the command again later")
+            display("too many uncommitted commands: retry later")
         }
-        /// The command is larger than one that can be replicated.
+        /// The command exceeds the size limit; holds its size and the limit in bytes.
         TooLarge(size: usize, limit: usize) {
-            display("a command of {size} bytes exceeds {limit}: split it")
+            display("a command of {size} bytes exceeds the limit of {limit} bytes: split it")
         }
     }
 }
@@ -28,57 +28,57 @@
     /// A read that was not confirmed by a quorum.
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
     pub enum ReadError {
-        /// No leader is known at the moment.
+        /// No leader is currently known.
         NoLeader {
-            display("no leader is known: read again in a second, or ask a control process of the side that has a quorum")
+            display("no leader is known: retry the read in a second, or send it to a control process on the side of the partition that has a quorum")
         }
-        /// The leader lost its office, or did not answer, before a quorum confirmed it.
+        /// The leader stepped down or did not answer before a quorum confirmed the read.
         Dropped {
-            display("the read was not confirmed by a quorum: read again")
+            display("the read was not confirmed by a quorum: retry the read")
         }
     }
 }
 
 quick_error! {
-    /// A change of the members that was not taken into the log.
+    /// A membership change that was rejected before it entered the log.
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
     pub enum MemberChangeError {
-        /// Only a leader changes members.
+        /// Only the leader changes the membership; holds the known leader.
         NotLeader(leader: Option<MemberId>) {
-            display("this member does not lead: ask the leader{}", named(*leader))
+            display("this member is not the leader: send the change to the leader{}", leader_suffix(*leader))
         }
-        /// An earlier change has not been committed, or the leader has not committed an entry
-        /// of its own term.
+        /// An earlier change is uncommitted, or the leader has not yet committed an entry of
+        /// its own term.
         ChangePending {
-            display("an earlier change is not committed yet: ask again in a second")
+            display("an earlier membership change is not committed yet: retry in a second")
         }
-        /// The learner lacks entries.
+        /// The learner's log lags too far behind, or the learner does not answer.
         NotCaughtUp(member: MemberId) {
-            display("learner {member} has not caught up: ask again once SHOW STATUS tells that it has")
+            display("learner {member} has not caught up: retry once SHOW STATUS reports it as caught up")
         }
-        /// Too few voters of the new configuration answer.
+        /// No quorum of the new configuration would be reachable.
         QuorumAtRisk {
-            display("too few voters would be left that answer: bring a stopped control machine back first")
+            display("the change would leave no reachable quorum of voters: bring a stopped control machine back first")
         }
-        /// The machine is a member with this or a later data folder.
+        /// The machine is already a member with this or a newer data folder.
         AlreadyMember(member: MemberId) {
-            display("{member} is a member already, or its machine has rejoined since: nothing is to be done")
+            display("{member} is already a member, or its machine has rejoined since: no action is needed")
         }
-        /// The member is not a learner.
+        /// Only a learner can be promoted.
         NotLearner(member: MemberId) {
             display("{member} is not a learner: add it as a learner first")
         }
-        /// The member is not one.
+        /// The cluster has no such member.
         NotMember(member: MemberId) {
-            display("{member} is not a member: look it up by SHOW STATUS")
+            display("{member} is not a member: SHOW STATUS lists the members")
         }
-        /// A cluster cannot be without voters.
+        /// The last voter of a cluster cannot be removed.
         LastVoter(member: MemberId) {
             display("{member} is the last voter: promote a learner first")
         }
     }
 }
 
-fn named(leader: Option<MemberId>) -> String {
+fn leader_suffix(leader: Option<MemberId>) -> String {
     leader.map_or(String::new(), |leader| format!(", {leader}"))
 }
--- a/crates/domain/src/consensus/installing.rs
+++ b/crates/domain/src/consensus/installing.rs
@@ -1,9 +1,9 @@
-//! Snapshots: taking them, sending them in parts, installing them.
+//! Snapshots: creation, chunked transfer and installation.
 
 use bytes::{Bytes, BytesMut};
 
 use super::configuration::ConfigurationHistory;
-use super::leading::Sending;
+use super::leading::AppendMode;
 use super::message::{AppendOutcome, Message, ReadRound};
 use super::node::Node;
 use super::progress::{ProgressState, SnapshotTransfer};
@@ -11,7 +11,7 @@
 use super::types::{LogIndex, LogPosition, MemberId, Snapshot, SnapshotMetadata};
 use crate::time::Timestamp;
 
-/// The parts of a snapshot that have arrived.
+/// A partially received snapshot.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     metadata: SnapshotMetadata,
@@ -19,9 +19,9 @@
 }
 
 impl Node {
-    /// The state machine gave its state after `index`; the log up to there is no longer needed.
+    /// Records the state machine's snapshot as of `index` and compacts the log.
     ///
-    /// Without effect when a later snapshot exists or `index` was not applied.
+    /// No-op when a later snapshot exists or `index` has not been applied.
     pub fn snapshot_taken(&mut self, index: LogIndex, data: Bytes) {
         let latest = self.snapshot.as_ref().map_or(LogIndex(0), Snapshot::index);
         let Some(term) = self.log.term_at(index) else {
@@ -41,14 +41,14 @@
         self.configurations.compact(LogIndex(kept_from));
     }
 
-    /// Entries that were applied after the latest snapshot.
+    /// Number of entries applied since the latest snapshot.
     pub fn applied_since_snapshot(&self) -> u64 {
         let latest = self.snapshot.as_ref().map_or(LogIndex(0), Snapshot::index);
         self.applied.0 - latest.0.min(self.applied.0)
     }
 
     pub(super) fn start_snapshot_transfer(&mut self, to: MemberId) {
-        // The base of the log is above zero only when there is a snapshot.
+        // A transfer starts only when the log base is above zero, which implies a snapshot.
         let Some(snapshot) = self.snapshot.clone() else {
             return;
         };
@@ -78,7 +78,7 @@
         self.send_as_leader(to, part);
     }
 
-    /// Sends the parts again that were not answered.
+    /// Resends the unacknowledged chunk of each transfer.
     pub(super) fn resend_snapshots(&mut self) {
         for member in self.configuration().clone().members() {
             self.send_snapshot_part(member);
@@ -95,7 +95,7 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.heard = now;
+        progress.last_contact = now;
         let ProgressState::Snapshot(transfer) = &mut progress.state else {
             return;
         };
@@ -144,7 +144,7 @@
     fn install(&mut self, snapshot: Snapshot) {
         let position = snapshot.metadata.position;
         if self.log.term_at(position.index) == Some(position.term) {
-            // The log holds all that the snapshot covers.
+            // The log already holds everything that the snapshot covers.
             self.commit = position.index;
             return;
         }
@@ -162,14 +162,14 @@
         self.send(leader, Message::AppendResponse { outcome, round: ReadRound(0) });
     }
 
-    /// Sends entries or a heartbeat at once to a member that was just added.
-    pub(super) fn greet(&mut self, member: MemberId) {
-        self.send_append(member, Sending::Always);
+    /// Sends entries or a heartbeat at once to a newly added member.
+    pub(super) fn send_initial_append(&mut self, member: MemberId) {
+        self.send_append(member, AppendMode::Always);
     }
 }
 
 impl Snapshot {
-    /// The last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     pub fn index(&self) -> LogIndex {
         self.metadata.position.index
     }
--- a/crates/domain/src/consensus/leadership.rs
+++ b/crates/domain/src/consensus/leadership.rs
@@ -1,4 +1,4 @@
-//! A member's role and what belongs to it.
+//! Raft roles and the state of each.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,60 +7,60 @@
 use super::types::{LogIndex, MemberId};
 use crate::time::Timestamp;
 
-/// A member's role.
+/// Role of a member with its role-specific state.
 #[derive(Debug)]
 pub(super) enum Role {
-    /// Follows a leader, or waits for one.
+    /// Replicates the leader's log, or waits for a leader.
     Follower,
-    /// Asks whether it would get votes.
+    /// Collects pre-votes before it starts an election.
     PreCandidate(Ballot),
-    /// Asks for votes.
+    /// Collects votes.
     Candidate(Ballot),
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader(Leadership),
 }
 
-/// Votes of one election.
+/// Votes received in one election or pre-vote.
 #[derive(Debug, Default)]
 pub(super) struct Ballot {
     pub granted: BTreeSet<MemberId>,
     pub rejected: BTreeSet<MemberId>,
 }
 
-/// What a leader knows and has to do.
+/// State of a leader.
 #[derive(Debug)]
 pub(super) struct Leadership {
-    /// The other members.
+    /// Replication progress of each other member.
     pub progress: BTreeMap<MemberId, Progress>,
     /// When the next heartbeat is due.
     pub heartbeat_due: Timestamp,
-    /// When the next look at the quorum is due.
+    /// When the next quorum check is due.
     pub quorum_check_due: Timestamp,
-    /// Reads that wait.
+    /// Reads not yet confirmed.
     pub reads: PendingReads,
 }
 
-/// Reads that wait for a quorum.
+/// Reads that wait for confirmation by a quorum.
 #[derive(Debug, Default)]
 pub(super) struct PendingReads {
-    /// Reads for the next round.
+    /// Reads queued for the next round.
     pub waiting: Vec<PendingRead>,
-    /// The round on its way.
+    /// The round in progress.
     pub round: Option<PendingRound>,
     /// Number of the latest round.
     pub latest: ReadRound,
 }
 
-/// A read and who asked.
+/// A read and its requester.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingRead {
-    /// The member that asked; the leader itself, too.
+    /// The requesting member; may be the leader itself.
     pub origin: MemberId,
-    /// Its number for the read.
+    /// The requester's number for the read.
     pub number: RequestNumber,
 }
 
-/// Reads that one round of heartbeats confirms.
+/// Reads that one round of append requests confirms.
 #[derive(Debug)]
 pub(super) struct PendingRound {
     pub index: LogIndex,
--- a/crates/domain/src/consensus/leading.rs
+++ b/crates/domain/src/consensus/leading.rs
@@ -1,4 +1,4 @@
-//! A leader's side of the log.
+//! Log replication on the leader.
 
 use std::collections::BTreeMap;
 
@@ -12,12 +12,12 @@
 use super::types::{Entry, LogIndex, LogPosition, MemberId, Payload};
 use crate::time::Timestamp;
 
-/// Whether a request goes out without entries, too.
+/// Whether an append request may be sent without entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sending {
+pub(super) enum AppendMode {
     /// Only when there are entries to send.
     Entries,
-    /// In any case: as a heartbeat, or with a new commit index.
+    /// Also without entries: as a heartbeat, or to announce a new commit index.
     Always,
 }
 
@@ -30,9 +30,9 @@
             quorum_check_due: now.after(self.settings.election_timeout),
             reads: PendingReads::default(),
         });
-        self.align_progress(now);
+        self.sync_progress(now);
         self.append_payload(Payload::Empty);
-        self.broadcast(Sending::Always);
+        self.broadcast(AppendMode::Always);
         self.advance_commit(now);
     }
 
@@ -53,17 +53,17 @@
         if now >= leadership.heartbeat_due {
             leadership.heartbeat_due = now.after(self.settings.heartbeat_interval);
             leadership.progress.values_mut().for_each(Progress::retry_probe);
-            self.broadcast(Sending::Always);
+            self.broadcast(AppendMode::Always);
             self.resend_snapshots();
         }
     }
 
-    /// Whether a quorum of voters answered within the election timeout.
+    /// Whether a quorum of voters responded within the election timeout.
     fn quorum_is_active(&self, now: Timestamp) -> bool {
         self.configuration().has_quorum(|voter| self.is_active(now, voter))
     }
 
-    /// Whether a member answered within the election timeout.
+    /// Whether a member responded within the election timeout.
     pub(super) fn is_active(&self, now: Timestamp, member: MemberId) -> bool {
         member == self.identity
             || self
@@ -95,7 +95,7 @@
             return Err(ProposeError::Overloaded);
         }
         let position = self.append_payload(Payload::Command(command));
-        self.broadcast(Sending::Entries);
+        self.broadcast(AppendMode::Entries);
         self.advance_commit(now);
         Ok(position)
     }
@@ -103,7 +103,7 @@
     pub(super) fn handle_forwarded_command(&mut self, now: Timestamp, command: Bytes) {
         let fits = command.len() <= self.settings.command_bytes_limit;
         if fits && matches!(self.role, Role::Leader(_)) {
-            // A command that is not taken is lost, as on the way; its sender sends it again.
+            // A rejected command counts as lost in transit; the sender retries it.
             let _ = self.append_command(now, command);
         }
     }
@@ -116,17 +116,17 @@
         position
     }
 
-    pub(super) fn broadcast(&mut self, sending: Sending) {
+    pub(super) fn broadcast(&mut self, mode: AppendMode) {
         let Role::Leader(leadership) = &self.role else {
             return;
         };
         let members: Vec<MemberId> = leadership.progress.keys().copied().collect();
         for member in members {
-            self.send_append(member, sending);
+            self.send_append(member, mode);
         }
     }
 
-    pub(super) fn send_append(&mut self, to: MemberId, sending: Sending) {
+    pub(super) fn send_append(&mut self, to: MemberId, mode: AppendMode) {
         let base = self.log.base().index;
         let Role::Leader(leadership) = &mut self.role else {
             return;
@@ -136,7 +136,7 @@
             return;
         };
         let paused = progress.is_paused(self.settings.append_in_flight);
-        if paused && sending == Sending::Entries {
+        if paused && mode == AppendMode::Entries {
             return;
         }
         let in_snapshot = matches!(progress.state, ProgressState::Snapshot(_));
@@ -144,7 +144,7 @@
             self.start_snapshot_transfer(to);
             return;
         }
-        // A member that gets a snapshot has no entry to compare with.
+        // A member that receives a snapshot has no preceding entry to compare.
         let before = if in_snapshot { LogIndex(0) } else { progress.next.previous() };
         let term = if in_snapshot { None } else { self.log.term_at(before) };
         let previous = LogPosition { term: term.unwrap_or_default(), index: before };
@@ -152,7 +152,7 @@
             true => Vec::new(),
             false => self.log.slice(progress.next, self.settings.append_bytes),
         };
-        if entries.is_empty() && sending == Sending::Entries {
+        if entries.is_empty() && mode == AppendMode::Entries {
             return;
         }
         progress.sent(&entries);
@@ -170,7 +170,7 @@
         let Some(progress) = self.progress_mut(from) else {
             return;
         };
-        progress.heard = now;
+        progress.last_contact = now;
         progress.confirmed_round = progress.confirmed_round.max(round);
         match outcome {
             AppendOutcome::Accepted { matched } => {
@@ -181,7 +181,7 @@
             }
             AppendOutcome::Rejected { previous, hint } => {
                 if progress.rejected(previous, hint) {
-                    self.send_append(from, Sending::Always);
+                    self.send_append(from, AppendMode::Always);
                 }
             }
             AppendOutcome::StaleTerm => {}
@@ -189,7 +189,7 @@
         self.confirm_reads();
     }
 
-    /// Sends entries until none is left or enough are on the way.
+    /// Sends entries until none is left or the limit of requests in flight is reached.
     fn send_entries(&mut self, to: MemberId) {
         let limit = self.settings.append_in_flight;
         let last = self.log.last().index;
@@ -197,11 +197,11 @@
             if progress.is_paused(limit) || progress.next > last {
                 return;
             }
-            self.send_append(to, Sending::Entries);
+            self.send_append(to, AppendMode::Entries);
         }
     }
 
-    /// Commits what a quorum has on disk, if its last entry is of the own term.
+    /// Advances the commit index to what a quorum has on disk, if that entry is of this term.
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
         let Role::Leader(leadership) = &self.role else {
             return;
@@ -211,12 +211,12 @@
             return;
         }
         self.commit = matched;
-        self.broadcast(Sending::Always);
+        self.broadcast(AppendMode::Always);
         self.start_read_round();
-        self.resign_if_removed(now);
+        self.step_down_if_removed(now);
     }
 
-    /// Last entry that a quorum of voters has on disk.
+    /// Last entry that a quorum of voters has on disk, counting this member's persisted log.
     fn quorum_matched(&self, leadership: &Leadership) -> LogIndex {
         let configuration = self.configuration();
         let mut matched: Vec<LogIndex> = configuration
@@ -232,16 +232,16 @@
         matched.get(configuration.quorum() - 1).copied().unwrap_or_default()
     }
 
-    /// A leader that its own change removed ends its office once the change is committed.
-    fn resign_if_removed(&mut self, now: Timestamp) {
+    /// Steps down if a committed change removed this leader from the voters.
+    fn step_down_if_removed(&mut self, now: Timestamp) {
         let settled = self.configurations.current_index() <= self.commit;
         if settled && !self.is_voter() {
             self.become_follower(now, self.hard_state.term, None);
         }
     }
 
-    /// Follows the members of the current configuration, and no others.
-    pub(super) fn align_progress(&mut self, now: Timestamp) {
+    /// Tracks progress for exactly the other members of the current configuration.
+    pub(super) fn sync_progress(&mut self, now: Timestamp) {
         let configuration = self.configurations.current();
         let next = self.log.last().index.next();
         let Role::Leader(leadership) = &mut self.role else {
--- a/crates/domain/src/consensus/log.rs
+++ b/crates/domain/src/consensus/log.rs
@@ -1,26 +1,26 @@
-//! The log in memory: the entries after a base that a snapshot covers.
+//! The in-memory log: the entries after a base position that a snapshot covers.
 
 use std::collections::VecDeque;
 
 use super::types::{Entry, LogIndex, LogPosition, Term};
 
-/// Bytes that an entry takes besides its command.
+/// Estimated bytes of an entry besides its command.
 const ENTRY_OVERHEAD: usize = 32;
 
-/// The log in memory.
+/// The in-memory log and how much of it is persisted.
 #[derive(Debug, Clone)]
 pub(super) struct Log {
-    /// The entry before the first that is kept.
+    /// Position of the entry before the first one kept.
     base: LogPosition,
     entries: VecDeque<Entry>,
-    /// Last entry that was handed out to be persisted.
+    /// Last entry passed to the driver to be persisted.
     issued: LogIndex,
-    /// Last entry that is known to be on disk.
+    /// Last entry known to be on disk.
     persisted: LogIndex,
 }
 
 impl Log {
-    /// A log of entries that are on disk.
+    /// Creates a log whose entries are all on disk.
     pub fn new(base: LogPosition, entries: Vec<Entry>) -> Self {
         let mut log =
             Self { base, entries: entries.into(), issued: base.index, persisted: base.index };
@@ -53,14 +53,14 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Appends an entry of the own term.
+    /// Appends the entry that follows the last one.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index.next());
         self.entries.push_back(entry);
     }
 
-    /// Index of the first of `entries` that is missing or of another term.
-    pub fn first_difference(&self, entries: &[Entry]) -> Option<LogIndex> {
+    /// Index of the first of `entries` that is missing here or has another term.
+    pub fn first_conflict(&self, entries: &[Entry]) -> Option<LogIndex> {
         entries
             .iter()
             .find(|entry| self.term_at(entry.index) != Some(entry.term))
@@ -75,7 +75,7 @@
         self.persisted = self.persisted.min(index.previous());
     }
 
-    /// Entries from `first` on, at least one if there is one, then as many as `bytes` allow.
+    /// Entries from `first` on up to `bytes`, but at least one if any exists.
     pub fn slice(&self, first: LogIndex, bytes: usize) -> Vec<Entry> {
         let mut left = bytes;
         let mut slice = Vec::new();
@@ -92,13 +92,13 @@
         slice
     }
 
-    /// Entries after `after` up to `last`.
+    /// Entries after `after`, up to and including `last`.
     pub fn between(&self, after: LogIndex, last: LogIndex) -> Vec<Entry> {
         let indexes = after.0 + 1..=last.0;
         indexes.filter_map(|index| self.entry(LogIndex(index)).cloned()).collect()
     }
 
-    /// Entries that were not handed out to be persisted yet.
+    /// Takes the entries not yet passed to the driver to be persisted.
     pub fn take_unissued(&mut self) -> Vec<Entry> {
         let last = self.last().index;
         let entries = self.between(self.issued, last);
@@ -110,14 +110,14 @@
         self.issued < self.last().index
     }
 
-    /// All up to `position` is on disk, unless that entry was replaced meanwhile.
+    /// Marks the log as persisted up to `position`, unless that entry was replaced since.
     pub fn mark_persisted(&mut self, position: LogPosition) {
         if self.term_at(position.index) == Some(position.term) {
             self.persisted = self.persisted.max(position.index);
         }
     }
 
-    /// Forgets the entries up to `index`.
+    /// Drops the entries up to and including `index`.
     pub fn compact(&mut self, index: LogIndex) {
         while self.entries.front().is_some_and(|first| first.index <= index) {
             if let Some(first) = self.entries.pop_front() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Starts anew after a snapshot.
+    /// Replaces the log by an empty one after a snapshot at `base`.
     pub fn reset(&mut self, base: LogPosition) {
         *self = Self::new(base, Vec::new());
     }
--- a/crates/domain/src/consensus/membership.rs
+++ b/crates/domain/src/consensus/membership.rs
@@ -1,35 +1,36 @@
-//! Changes of the members, one at a time.
+//! Single-member membership changes.
 //!
-//! A quorum before and one after the change of a single member always share a member, so no
-//! joint configuration is needed. A change counts from the moment it is in the log; the next one
-//! is taken only when it is committed and the leader has committed an entry of its own term.
+//! Any quorum before and any quorum after the change of one member overlap, so no joint
+//! configuration is needed. A change is in force as soon as it is in the log. The next one is
+//! accepted only once the previous one is committed and the leader has committed an entry of its
+//! own term.
 
 use std::time::Duration;
 
 use super::configuration::{Configuration, MemberChange};
 use super::error::MemberChangeError;
-use super::leading::Sending;
+use super::leading::AppendMode;
 use super::message::{Message, RequestNumber};
 use super::node::Node;
 use super::types::{LogIndex, MemberId, Payload};
 use crate::time::Timestamp;
 
-/// How a cluster grows that members join by themselves.
+/// Limits for automatic membership changes in a cluster that members join on their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipPolicy {
-    /// Voters that have to answer before a lost one is taken out.
+    /// Minimum live voters required to remove a lost one.
     pub min_voters: usize,
-    /// Most voters; further members wait as learners.
+    /// Maximum voters; further members stay learners.
     pub max_voters: usize,
-    /// Silence after which a voter counts as lost.
+    /// Time without a response after which a voter counts as lost.
     pub voter_timeout: Duration,
 }
 
 impl Node {
-    /// Puts a change of the members into the log; it is made once the entry is committed.
+    /// Appends a membership change to the log; final once the entry is committed.
     ///
     /// # Errors
-    /// A [`MemberChangeError`] when the change was not taken.
+    /// A [`MemberChangeError`] when the change was rejected.
     pub fn change_members(
         &mut self,
         now: Timestamp,
@@ -48,17 +49,16 @@
         let next = self.configuration().changed(change)?;
         self.check_change(now, change, &next)?;
         let index = self.append_payload(Payload::Configuration(next)).index;
-        self.align_progress(now);
-        self.broadcast(Sending::Entries);
+        self.sync_progress(now);
+        self.broadcast(AppendMode::Entries);
         if let MemberChange::AddLearner(member) = change {
-            self.greet(member);
+            self.send_initial_append(member);
         }
         self.advance_commit(now);
         Ok(index)
     }
 
-    /// Asks another member, which should lead, for a change; the outcome comes with a
-    /// [`super::Ready`].
+    /// Requests a change from the presumed leader; the outcome arrives in a [`super::Ready`].
     pub fn request_member_change(
         &mut self,
         leader: MemberId,
@@ -79,41 +79,40 @@
         self.send_as_leader(from, Message::MemberChangeResponse { number, outcome });
     }
 
-    /// The next change that replaces a lost data folder, if this member leads and one is due.
+    /// The next change that replaces a lost data folder, if this member leads and any is due.
     pub fn due_replacement(&self, now: Timestamp) -> Option<MemberChange> {
         self.configuration().replacement(|learner| self.has_caught_up(now, learner))
     }
 
-    /// The next change by which a cluster that members join by themselves grows and replaces
-    /// what it lost, if this member leads and one is due.
+    /// The next change that `policy` requires, if this member leads and a change is due.
     ///
-    /// A voter that was silent for long is taken out once enough others answer; a learner that has
-    /// caught up is promoted while there are not too many voters or one is lost, so that it takes
-    /// the place of the lost one before that is taken out. A voter that was taken out and comes
-    /// back joins again as a learner.
+    /// A lost voter is removed once enough other voters are live. A caught-up learner is promoted
+    /// while there are fewer voters than the maximum, or while a voter is lost, so that the
+    /// learner replaces the lost voter before its removal. A removed voter that comes back rejoins
+    /// as a learner.
     pub fn due_membership_change(
         &self,
         now: Timestamp,
-        growth: &MembershipPolicy,
+        policy: &MembershipPolicy,
     ) -> Option<MemberChange> {
         let configuration = self.configuration();
         let is_lost = |member: &MemberId| {
             let progress = self.progress(*member);
-            progress.is_some_and(|progress| !progress.is_active(now, growth.voter_timeout))
+            progress.is_some_and(|progress| !progress.is_active(now, policy.voter_timeout))
         };
         let voters = &configuration.voters;
         let lost = voters.iter().copied().find(is_lost);
         let present = voters.iter().filter(|voter| !is_lost(voter)).count();
-        if let Some(voter) = lost.filter(|_| present >= growth.min_voters) {
+        if let Some(voter) = lost.filter(|_| present >= policy.min_voters) {
             return Some(MemberChange::Remove(voter));
         }
         let mut learners = configuration.learners.iter().copied();
         let ready = learners.find(|learner| self.has_caught_up(now, *learner))?;
-        let wanted = voters.len() < growth.max_voters || lost.is_some();
+        let wanted = voters.len() < policy.max_voters || lost.is_some();
         wanted.then_some(MemberChange::Promote(ready))
     }
 
-    /// Whether a learner answers and has nearly all that is committed.
+    /// Whether a learner is live and lags by no more than the promotion limit.
     pub fn has_caught_up(&self, now: Timestamp, learner: MemberId) -> bool {
         let lag = self.settings.promotion_lag;
         self.is_active(now, learner)
--- a/crates/domain/src/consensus/message.rs
+++ b/crates/domain/src/consensus/message.rs
@@ -10,122 +10,122 @@
 /// A message with its sender, receiver and term.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends it.
+    /// The sender.
     pub from: MemberId,
-    /// Whom it is for; another member, also one on the same machine, drops it.
+    /// The receiver; any other member drops the message, even one on the same machine.
     pub to: MemberId,
-    /// The sender's term; with a request for a pre-vote, the term that it would open.
+    /// The sender's term; in a pre-vote request, the term of the prospective election.
     pub term: Term,
-    /// What it says.
+    /// Content of the message.
     pub message: Message,
 }
 
-/// Number of a read that its asker chose.
+/// Number by which the requester matches a response to its request.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestNumber(pub u64);
 
-/// Number of a round in which a leader confirms reads; grows within a term.
+/// Number of a quorum round that confirms reads; increases within a term.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ReadRound(pub u64);
 
-/// What a member says to another.
+/// A message between members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in this term? Changes nothing at the receiver.
+    /// Asks whether the receiver would grant a vote in this term; changes no receiver state.
     PreVoteRequest {
         /// Last entry of the sender's log.
         last: LogPosition,
     },
-    /// Answer to a request for a pre-vote.
+    /// Response to a pre-vote request.
     PreVoteResponse {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     VoteRequest {
         /// Last entry of the sender's log.
         last: LogPosition,
     },
-    /// Answer to a request for a vote.
+    /// Response to a vote request.
     VoteResponse {
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries of the leader's log; none in a heartbeat.
+    /// Replicates entries of the leader's log; a heartbeat carries none.
     AppendRequest {
-        /// The entry before the first.
+        /// Position of the entry that precedes `entries`.
         previous: LogPosition,
-        /// The entries.
+        /// Consecutive entries to append.
         entries: Vec<Entry>,
-        /// Last entry that the leader knows to be committed.
+        /// The leader's commit index.
         commit: LogIndex,
-        /// The leader's latest round of reads.
+        /// The leader's latest read round.
         round: ReadRound,
     },
-    /// Answer to an append request or to the last part of a snapshot.
+    /// Response to an append request or to the last chunk of a snapshot.
     AppendResponse {
-        /// What became of the entries.
+        /// Whether the entries were accepted.
         outcome: AppendOutcome,
-        /// The round of the request.
+        /// Read round of the request.
         round: ReadRound,
     },
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotRequest {
-        /// What the snapshot covers.
+        /// Position and membership that the snapshot covers.
         metadata: SnapshotMetadata,
-        /// Bytes of the snapshot before this part.
+        /// Offset of this chunk in bytes.
         offset: u64,
-        /// Bytes of the whole snapshot.
+        /// Total bytes of the snapshot.
         length: u64,
-        /// The part.
+        /// Bytes of this chunk.
         data: Bytes,
     },
-    /// Answer to a part of a snapshot that was not the last.
+    /// Response to a chunk other than the last.
     SnapshotResponse {
-        /// Last entry that the snapshot covers.
+        /// Last entry included in the snapshot.
         index: LogIndex,
-        /// Bytes that the receiver has from the start.
+        /// Contiguous bytes received from the start.
         received: u64,
     },
-    /// A command that a follower hands to the leader.
+    /// A command that a follower forwards to the leader.
     ForwardedCommand {
-        /// The command.
+        /// The serialized command.
         command: Bytes,
     },
-    /// Asks the leader up to which entry a read has to wait.
+    /// Requests a read index from the leader.
     ReadRequest {
-        /// The asker's number for the read.
+        /// The requester's number for the read.
         number: RequestNumber,
     },
-    /// Answer to a read request, after a quorum confirmed the leader.
+    /// Response to a read request, sent after a quorum confirmed the leader.
     ReadResponse {
-        /// The asker's number for the read.
+        /// The requester's number for the read.
         number: RequestNumber,
-        /// The entry that must be applied before the read is answered.
+        /// Read index: the entry that must be applied before the read is served.
         index: LogIndex,
     },
-    /// Asks the leader for a change of the members.
+    /// Requests a membership change from the leader.
     MemberChangeRequest {
-        /// The asker's number for the change.
+        /// The requester's number for the change.
         number: RequestNumber,
-        /// The change.
+        /// The requested change.
         change: MemberChange,
     },
-    /// Answer to a request for a change of the members.
+    /// Response to a membership change request.
     MemberChangeResponse {
-        /// The asker's number for the change.
+        /// The requester's number for the change.
         number: RequestNumber,
-        /// The entry that holds the change; it is not committed yet.
+        /// Index of the entry that holds the change, which is not committed yet.
         outcome: Result<LogIndex, MemberChangeError>,
     },
 }
 
 impl Message {
-    /// Whether the message means the same in every term, so that terms are not compared.
+    /// Whether the message is valid in any term, so that terms are not compared.
     pub(super) fn is_independent_of_term(&self) -> bool {
         matches!(
             self,
@@ -138,21 +138,21 @@
     }
 }
 
-/// What became of the entries of an append request.
+/// Outcome of an append request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log is the leader's up to this entry, on disk.
+    /// The log matches the leader's up to this entry, on disk.
     Accepted {
-        /// The entry.
+        /// Index of the last matching entry.
         matched: LogIndex,
     },
-    /// The entry before the first is missing or of another term.
+    /// The preceding entry is missing or has another term.
     Rejected {
-        /// Index of that entry.
+        /// Index of the preceding entry.
         previous: LogIndex,
-        /// Where the logs may still agree.
+        /// Highest index at which the logs may still match.
         hint: LogIndex,
     },
-    /// The sender of the request is of an earlier term.
+    /// The request's term is older than the receiver's.
     StaleTerm,
 }
--- a/crates/domain/src/consensus/mod.rs
+++ b/crates/domain/src/consensus/mod.rs
@@ -1,17 +1,17 @@
-//! Consensus on a replicated log by the rules of Raft.
+//! Raft consensus on a replicated log.
 //!
-//! [`Node`] is one member's core. It does no I/O and reads no clock: the driver hands in messages,
-//! proposals and the time, takes a [`Ready`] and does what it says. The core itself holds back
-//! each message that depends on a write until the driver reports that the write is on disk.
+//! [`Node`] is the state machine of one member. It performs no I/O and reads no clock: the driver
+//! passes in messages, proposals and the time, and executes each [`Ready`] that it takes. The node
+//! holds back every message that depends on a write until the driver reports the write as
+//! persisted.
 //!
-//! Beyond the basic rules: pre-vote, check-quorum, reads confirmed by a quorum (also for
-//! followers), snapshots sent in parts, learners, and changes of one member at a time.
+//! Extensions to basic Raft: pre-vote, check-quorum, linearizable reads by read index (also on
+//! followers), chunked snapshots, learners and single-member configuration changes.
 
 mod appending;
 mod configuration;
 mod election;
 mod error;
-mod handing_out;
 mod installing;
 mod leadership;
 mod leading;
@@ -19,6 +19,7 @@
 mod membership;
 mod message;
 mod node;
+mod output;
 mod progress;
 mod reading;
 mod ready;
--- a/crates/domain/src/consensus/node.rs
+++ b/crates/domain/src/consensus/node.rs
@@ -1,4 +1,4 @@
-//! One member of the cluster.
+//! The consensus core of one member.
 
 use std::collections::VecDeque;
 
@@ -20,14 +20,14 @@
 };
 use crate::time::Timestamp;
 
-/// The core of one member.
+/// Consensus state machine of one member.
 pub struct Node {
     pub(super) identity: MemberId,
     pub(super) settings: ConsensusSettings,
     random: Box<dyn RngCore + Send>,
     pub(super) hard_state: HardState,
     pub(super) issued_hard_state: HardState,
-    /// The write that holds the current term.
+    /// The write that persists the current term and vote.
     pub(super) term_write: WriteNumber,
     pub(super) log: Log,
     pub(super) configurations: ConfigurationHistory,
@@ -35,8 +35,8 @@
     pub(super) applied: LogIndex,
     pub(super) role: Role,
     pub(super) leader: Option<MemberId>,
-    /// When the current leader was last heard from.
-    pub(super) leader_heard: Timestamp,
+    /// When the current leader last sent a message.
+    pub(super) leader_last_contact: Timestamp,
     pub(super) election_due: Timestamp,
     pub(super) snapshot: Option<Snapshot>,
     pub(super) unissued_snapshot: Option<SnapshotWrite>,
@@ -51,51 +51,51 @@
     pub(super) storage_available: bool,
 }
 
-/// Name of a role.
+/// Role of a member, without its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleName {
-    /// Follows a leader, or waits for one.
+    /// Replicates the leader's log, or waits for a leader.
     Follower,
-    /// Asks whether it would get votes.
+    /// Collects pre-votes before it starts an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Collects votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// A member as it sees itself.
+/// Status of a member, by its own knowledge.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// The member.
+    /// Identity of the member.
     pub identity: MemberId,
-    /// Its role.
+    /// Current role.
     pub role: RoleName,
-    /// Its term.
+    /// Current term.
     pub term: Term,
-    /// The leader that it knows.
+    /// Known leader of the current term.
     pub leader: Option<MemberId>,
-    /// The members that it knows.
+    /// Membership as of the member's latest entry.
     pub configuration: Configuration,
-    /// Last entry that it knows to be committed.
+    /// Commit index.
     pub commit: LogIndex,
-    /// Last entry that was handed out to be applied.
+    /// Last entry passed to the driver to be applied.
     pub applied: LogIndex,
-    /// Last entry of its log.
+    /// Position of the last log entry.
     pub last: LogPosition,
 }
 
-/// Where a proposed command went.
+/// What happened to a proposed command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Proposed {
-    /// Into the own log; committed once an entry of this very position is.
+    /// Appended to the member's own log; committed once the entry at exactly this position is.
     Appended(LogPosition),
-    /// To the leader.
+    /// Forwarded to this leader; not confirmed.
     Forwarded(MemberId),
 }
 
 impl Node {
-    /// A member that starts from what is on its disk.
+    /// Starts a member from its persisted state.
     pub fn new(
         identity: MemberId,
         settings: ConsensusSettings,
@@ -127,7 +127,7 @@
             applied: base.index,
             role: Role::Follower,
             leader: None,
-            leader_heard: now,
+            leader_last_contact: now,
             election_due: now,
             restore: recovered.snapshot.clone(),
             snapshot: recovered.snapshot,
@@ -148,17 +148,17 @@
         node
     }
 
-    /// The member itself.
+    /// Identity of this member.
     pub fn identity(&self) -> MemberId {
         self.identity
     }
 
-    /// The members, as of the latest entry.
+    /// Membership as of the latest entry.
     pub fn configuration(&self) -> &Configuration {
         self.configurations.current()
     }
 
-    /// The member as it sees itself.
+    /// Status of this member.
     pub fn status(&self) -> NodeStatus {
         NodeStatus {
             identity: self.identity,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The term of an entry, if the entry is in memory or the last that the log lacks.
+    /// Term of an entry, if it is in memory or is the last one before the log in memory.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         self.log.term_at(index)
     }
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Handles due timers.
     pub fn tick(&mut self, now: Timestamp) {
         match &self.role {
             Role::Leader(_) => self.tick_leader(now),
@@ -194,34 +194,34 @@
         }
     }
 
-    /// A message arrived.
+    /// Handles a received message.
     pub fn step(&mut self, now: Timestamp, envelope: Envelope) {
         if envelope.to != self.identity {
             return;
         }
-        if envelope.message.is_independent_of_term() || self.admit_term(now, &envelope) {
+        if envelope.message.is_independent_of_term() || self.check_term(now, &envelope) {
             self.handle(now, envelope);
         }
     }
 
-    /// Forms a new cluster: the members become the first entry of an empty log.
+    /// Bootstraps a new cluster: appends the membership as the first entry of an empty log.
     ///
-    /// Only one member of a cluster may do so, once it knows that no other has a log. Without
-    /// effect when the log is not empty.
+    /// Only one member of a cluster may call this, once it knows that no other member has a log.
+    /// No-op when the log is not empty.
     pub fn bootstrap(&mut self, now: Timestamp, configuration: Configuration) {
         if self.log.last() != LogPosition::default() || self.hard_state != HardState::default() {
             return;
         }
-        let formed = Recovered::bootstrap(configuration);
-        self.set_hard_state(formed.hard_state);
-        formed.entries.into_iter().for_each(|entry| self.append_entry(entry));
+        let initial = Recovered::bootstrap(configuration);
+        self.set_hard_state(initial.hard_state);
+        initial.entries.into_iter().for_each(|entry| self.append_entry(entry));
         self.election_due = now;
     }
 
-    /// Puts a command into the log, or hands it to the leader.
+    /// Appends a command to the log, or forwards it to the leader.
     ///
     /// # Errors
-    /// A [`ProposeError`] when the command was certainly not taken.
+    /// A [`ProposeError`] when the command was definitely not accepted.
     pub fn propose(&mut self, now: Timestamp, command: Bytes) -> Result<Proposed, ProposeError> {
         let limit = self.settings.command_bytes_limit;
         if command.len() > limit {
@@ -235,10 +235,10 @@
         Ok(Proposed::Forwarded(leader))
     }
 
-    /// Tells whether the disk takes writes.
+    /// Sets whether the disk accepts writes.
     ///
-    /// Without it a leader gives up its office, so that a member with room can lead, and the
-    /// member does not stand for election.
+    /// While it does not, the member steps down if it leads, so that a member with a working disk
+    /// can take over, and starts no election.
     pub fn set_storage_available(&mut self, now: Timestamp, available: bool) {
         self.storage_available = available;
         if !available && !matches!(self.role, Role::Follower) {
@@ -263,11 +263,11 @@
         }
     }
 
-    /// Compares terms; false when the message is of no further use.
-    fn admit_term(&mut self, now: Timestamp, envelope: &Envelope) -> bool {
+    /// Compares the message's term with the member's; returns false when the message is dropped.
+    fn check_term(&mut self, now: Timestamp, envelope: &Envelope) -> bool {
         let term = envelope.term;
         if term < self.hard_state.term {
-            self.answer_stale(envelope);
+            self.reject_stale_term(envelope);
             return false;
         }
         if term == self.hard_state.term {
@@ -275,8 +275,8 @@
         }
         match envelope.message {
             Message::PreVoteRequest { .. } | Message::PreVoteResponse { granted: true } => true,
-            // A voter that hears from a leader does not help to depose it.
-            Message::VoteRequest { .. } if self.hears_leader(now) => false,
+            // Leader stickiness: no vote while the current leader is known to be alive.
+            Message::VoteRequest { .. } if self.has_active_leader(now) => false,
             Message::AppendRequest { .. } | Message::SnapshotRequest { .. } => {
                 self.become_follower(now, term, Some(envelope.from));
                 true
@@ -288,7 +288,7 @@
         }
     }
 
-    fn answer_stale(&mut self, envelope: &Envelope) {
+    fn reject_stale_term(&mut self, envelope: &Envelope) {
         let answer = match envelope.message {
             Message::PreVoteRequest { .. } => Message::PreVoteResponse { granted: false },
             Message::VoteRequest { .. } => Message::VoteResponse { granted: false },
--- a/crates/domain/src/consensus/handing_out.rs
+++ b/crates/domain/src/consensus/output.rs
@@ -1,4 +1,4 @@
-//! What the core hands to its driver: writes, messages that wait for them, and what is committed.
+//! Output to the driver: writes, messages that depend on them, and committed entries.
 
 use super::message::{Envelope, Message};
 use super::node::Node;
@@ -7,7 +7,7 @@
 use crate::time::Timestamp;
 
 impl Node {
-    /// Takes what the driver has to do; none when there is nothing.
+    /// Takes the pending work of the driver; `None` when there is none.
     pub fn ready(&mut self) -> Option<Ready> {
         let ready = Ready {
             write: self.take_write(),
@@ -20,7 +20,7 @@
         (ready != Ready::default()).then_some(ready)
     }
 
-    /// All writes up to `number` are on disk.
+    /// Records that all writes up to `number` are on disk.
     pub fn persisted(&mut self, now: Timestamp, number: WriteNumber) {
         while self.writes.front().is_some_and(|write| write.number <= number) {
             let Some(write) = self.writes.pop_front() else {
@@ -36,7 +36,7 @@
         self.advance_commit(now);
     }
 
-    /// Whether something waits for the driver.
+    /// Whether work for the driver is pending.
     pub fn has_ready(&self) -> bool {
         self.is_dirty()
             || self.outbox.has_sendable()
@@ -46,37 +46,37 @@
             || !self.member_changes.is_empty()
     }
 
-    /// The state on disk would change if all were written now.
+    /// Whether any state has not been passed to the driver to be persisted.
     fn is_dirty(&self) -> bool {
         self.hard_state != self.issued_hard_state
             || self.unissued_snapshot.is_some()
             || self.log.has_unissued()
     }
 
-    /// The write after which all of the present state is on disk.
+    /// The write after which the entire current state is on disk.
     fn pending_write(&self) -> WriteNumber {
         if self.is_dirty() { WriteNumber(self.issued.0 + 1) } else { self.issued }
     }
 
-    /// Sends once all of the present state is on disk.
+    /// Sends once the entire current state is on disk.
     pub(super) fn send(&mut self, to: MemberId, message: Message) {
         let needed = self.pending_write();
         self.push(to, self.hard_state.term, message, needed);
     }
 
-    /// Sends once the present term is on disk: a leader's requests may go out before its own
-    /// entries are, as it counts its own copy only afterwards.
+    /// Sends once the current term is on disk. A leader's requests may precede the write of its
+    /// own entries, because it counts its own replica only after that write.
     pub(super) fn send_as_leader(&mut self, to: MemberId, message: Message) {
         self.push(to, self.hard_state.term, message, self.term_write);
     }
 
-    /// Sends a request for a pre-vote, which promises nothing.
+    /// Sends a pre-vote request at once, as it depends on no persisted state.
     pub(super) fn send_pre_vote(&mut self, to: MemberId, message: Message) {
         let term = Term(self.hard_state.term.0 + 1);
         self.push(to, term, message, WriteNumber(0));
     }
 
-    /// Answers a request for a pre-vote with the term that it asked about.
+    /// Grants a pre-vote, with the term of the request.
     pub(super) fn grant_pre_vote(&mut self, to: MemberId, term: Term) {
         self.push(to, term, Message::PreVoteResponse { granted: true }, WriteNumber(0));
     }
@@ -111,7 +111,7 @@
         Some(Write { number, hard_state, snapshot, entries, commit: self.commit })
     }
 
-    /// Last entry that may be applied: committed, and on the own disk.
+    /// Last entry that may be applied: committed and on this member's disk.
     fn applicable(&self) -> LogIndex {
         self.commit.min(self.log.persisted())
     }
--- a/crates/domain/src/consensus/progress.rs
+++ b/crates/domain/src/consensus/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows about another member's log.
+//! Replication progress of another member, as tracked by the leader.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,64 +7,64 @@
 use super::types::{Entry, LogIndex, Snapshot};
 use crate::time::Timestamp;
 
-/// What a leader knows about another member's log.
+/// Replication progress of another member.
 #[derive(Debug, Clone)]
 pub(super) struct Progress {
-    /// Last entry that is known to be on the member's disk and the same as the leader's.
+    /// Last entry known to match the leader's log and to be on the member's disk.
     pub matched: LogIndex,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub next: LogIndex,
-    /// How entries are sent.
+    /// Replication mode.
     pub state: ProgressState,
-    /// When the member last answered in this term.
-    pub heard: Timestamp,
-    /// Latest round of reads that it confirmed.
+    /// When the member last responded in this term.
+    pub last_contact: Timestamp,
+    /// Latest read round that the member confirmed.
     pub confirmed_round: ReadRound,
 }
 
-/// How entries are sent to a member.
+/// Replication mode of a member.
 #[derive(Debug, Clone)]
 pub(super) enum ProgressState {
-    /// Where the logs part is being looked for: one request at a time.
+    /// The leader searches for the last matching entry, with one request at a time.
     Probe {
-        /// Whether a request is on the way.
+        /// Whether a request is in flight.
         waiting: bool,
     },
-    /// Entries are sent without waiting.
+    /// Entries are pipelined.
     Replicate {
-        /// Last entries of the requests on the way.
+        /// Last entry of each request in flight.
         in_flight: VecDeque<LogIndex>,
     },
-    /// The member gets a snapshot first.
+    /// A snapshot is transferred first.
     Snapshot(SnapshotTransfer),
 }
 
-/// A snapshot on its way to a member.
+/// A snapshot transfer to a member.
 #[derive(Debug, Clone)]
 pub(super) struct SnapshotTransfer {
     pub snapshot: Snapshot,
-    /// Bytes that the member has.
+    /// Bytes that the member has acknowledged.
     pub received: u64,
 }
 
 impl Progress {
-    /// A member of which nothing is known; `next` is tried first.
+    /// Progress of a member whose log is unknown; probing starts at `next`.
     pub fn new(next: LogIndex, now: Timestamp) -> Self {
         Self {
             matched: LogIndex(0),
             next,
             state: ProgressState::Probe { waiting: false },
-            heard: now,
+            last_contact: now,
             confirmed_round: ReadRound(0),
         }
     }
 
-    /// Whether the member answered within `span`.
+    /// Whether the member responded within `span`.
     pub fn is_active(&self, now: Timestamp, span: Duration) -> bool {
-        now.since(self.heard) < span
+        now.since(self.last_contact) < span
     }
 
-    /// Whether no entries may be sent now.
+    /// Whether sending entries is currently suspended.
     pub fn is_paused(&self, in_flight_limit: usize) -> bool {
         match &self.state {
             ProgressState::Probe { waiting } => *waiting,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Entries were sent.
+    /// Records that `entries` were sent.
     pub fn sent(&mut self, entries: &[Entry]) {
         let Some(last) = entries.last() else {
             return;
@@ -88,16 +88,16 @@
         }
     }
 
-    /// A heartbeat is due: what was sent may have been lost.
+    /// Allows another probe at a heartbeat, as the last one may have been lost.
     pub fn retry_probe(&mut self) {
         if let ProgressState::Probe { waiting } = &mut self.state {
             *waiting = false;
         }
     }
 
-    /// The member's log agrees up to `matched`; tells whether that is news.
+    /// Records that the member's log matches up to `matched`; returns whether that advanced.
     pub fn accepted(&mut self, matched: LogIndex) -> bool {
-        let news = matched > self.matched;
+        let advanced = matched > self.matched;
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched.next());
         match &mut self.state {
@@ -113,17 +113,17 @@
                 }
             }
         }
-        news
+        advanced
     }
 
-    /// The member lacks the entry before the ones sent; tells whether to send again at once.
+    /// Records a rejected request; returns whether to send the next probe at once.
     pub fn rejected(&mut self, previous: LogIndex, hint: LogIndex) -> bool {
         let next = match &self.state {
             ProgressState::Replicate { .. } if previous > self.matched => self.matched.next(),
             ProgressState::Probe { .. } if previous.next() == self.next => {
                 previous.min(hint.next()).max(self.matched.next())
             }
-            // An answer to an earlier request.
+            // Stale response to an earlier request.
             _ => return false,
         };
         let moved = next != self.next;
--- a/crates/domain/src/consensus/reading.rs
+++ b/crates/domain/src/consensus/reading.rs
@@ -1,19 +1,20 @@
-//! Reads that a quorum confirms.
+//! Linearizable reads by read index.
 //!
-//! A leader notes its commit index, asks all members for a sign, and answers once a quorum of
-//! voters gave one in its term: then no later leader had been elected when the index was noted.
+//! The leader records its commit index, sends a round of append requests, and answers once a
+//! quorum of voters has responded in its term. This proves that no later leader had been elected
+//! when the index was recorded.
 
 use super::error::ReadError;
 use super::leadership::{PendingRead, PendingRound, Role};
-use super::leading::Sending;
+use super::leading::AppendMode;
 use super::message::{Message, ReadRound, RequestNumber};
 use super::node::Node;
 use super::ready::ReadOutcome;
 use super::types::{LogIndex, MemberId};
 
 impl Node {
-    /// Starts a read; its outcome comes with a [`super::Ready`], unless it is lost on the way to
-    /// the leader or back: the driver gives up after a time of its own.
+    /// Starts a read; the outcome arrives in a [`super::Ready`]. The request or the response may
+    /// be lost in transit, so the driver needs its own timeout.
     ///
     /// # Errors
     /// [`ReadError::NoLeader`] when no leader is known.
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Starts a round for the reads that wait, once the leader has committed an entry of its own
-    /// term: before, its commit index may be behind.
+    /// Starts a round for the queued reads, once the leader has committed an entry of its own
+    /// term. Before that, its commit index may be stale.
     pub(super) fn start_read_round(&mut self) {
         let own_term = self.log.term_at(self.commit) == Some(self.hard_state.term);
         let index = self.commit;
@@ -56,11 +57,11 @@
         }
         reads.latest = ReadRound(reads.latest.0 + 1);
         reads.round = Some(PendingRound { index, reads: std::mem::take(&mut reads.waiting) });
-        self.broadcast(Sending::Always);
+        self.broadcast(AppendMode::Always);
         self.confirm_reads();
     }
 
-    /// Answers the reads of a round that a quorum confirmed.
+    /// Answers the reads of the current round if a quorum has confirmed it.
     pub(super) fn confirm_reads(&mut self) {
         let Role::Leader(leadership) = &mut self.role else {
             return;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The office is lost: own reads fail, others' askers give up by themselves.
+    /// Fails this member's own pending reads when it steps down; remote requesters time out.
     pub(super) fn drop_reads(&mut self) {
         let Role::Leader(leadership) = &mut self.role else {
             return;
--- a/crates/domain/src/consensus/ready.rs
+++ b/crates/domain/src/consensus/ready.rs
@@ -1,4 +1,4 @@
-//! What the core asks its driver to do.
+//! Work that the core passes to its driver.
 
 use std::collections::VecDeque;
 
@@ -6,82 +6,82 @@
 use super::message::{Envelope, RequestNumber};
 use super::types::{Entry, HardState, LogIndex, LogPosition, Snapshot};
 
-/// Number of a write; writes are persisted in the order of their numbers.
+/// Sequence number of a write; writes are persisted in this order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteNumber(pub u64);
 
-/// What the driver has to do next, each part in the order of the fields.
+/// Pending work of the driver, to be done in the order of the fields.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// To be persisted; then the driver calls [`super::Node::persisted`].
+    /// State to persist; afterwards the driver calls [`super::Node::persisted`].
     pub write: Option<Write>,
-    /// To be sent now: the core holds back what depends on writes that are not persisted.
+    /// Messages to send at once; those that depend on pending writes are held back.
     pub messages: Vec<Envelope>,
-    /// A snapshot from the leader that replaces the state machine's state.
+    /// A snapshot that replaces the state machine's state: the leader's, or on start its own.
     pub restore: Option<Snapshot>,
-    /// Entries to be applied, in order.
+    /// Entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Outcomes of reads of this member.
+    /// Outcomes of reads started on this member.
     pub reads: Vec<ReadOutcome>,
-    /// Outcomes of changes of members that this member asked another for.
+    /// Outcomes of membership changes that this member requested from the leader.
     pub member_changes: Vec<MemberChangeOutcome>,
 }
 
-/// What has to reach the disk, in the order of the fields.
+/// State to persist, in the order of the fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
-    /// Its number.
+    /// Sequence number of the write.
     pub number: WriteNumber,
-    /// Term and vote, when they changed.
+    /// Term and vote, if changed.
     pub hard_state: Option<HardState>,
-    /// A snapshot.
+    /// A new snapshot, if any.
     pub snapshot: Option<SnapshotWrite>,
-    /// Entries to be appended; entries on disk from the first one's index on are void.
+    /// Entries to append; they replace all entries on disk from the first one's index on.
     pub entries: Vec<Entry>,
-    /// The last entry that is known to be committed. No write is made for its sake: it goes with
-    /// the next one, so that a member that starts again can apply what it had.
+    /// Commit index. It causes no write of its own but is saved with the next one, so that a
+    /// restarted member can apply committed entries at once.
     pub commit: LogIndex,
 }
 
-/// A snapshot to be persisted.
+/// A snapshot to persist.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SnapshotWrite {
-    /// The snapshot.
+    /// Content of the snapshot.
     pub snapshot: Snapshot,
-    /// Whether it came from the leader, so that all entries on disk are void; otherwise only
-    /// those up to the snapshot's position may be removed.
+    /// Whether the leader sent the snapshot, which invalidates all entries on disk; otherwise
+    /// only the entries up to the snapshot's position may be removed.
     pub replaces_log: bool,
 }
 
-/// Outcome of a read.
+/// Outcome of a read, matched to its request by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadOutcome {
-    /// The number given with the read.
+    /// Number passed to [`super::Node::read`].
     pub number: RequestNumber,
-    /// The entry that must be applied before the read is answered.
+    /// Read index: the entry that must be applied before the read is served.
     pub result: Result<LogIndex, ReadError>,
 }
 
-/// Outcome of a change of the members.
+/// Outcome of a requested membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberChangeOutcome {
-    /// The number given with the change.
+    /// Number passed to [`super::Node::request_member_change`].
     pub number: RequestNumber,
-    /// The entry that holds the change; it is not committed yet.
+    /// Index of the entry that holds the change, which is not committed yet.
     pub result: Result<LogIndex, MemberChangeError>,
 }
 
-/// A write that was handed out.
+/// A write passed to the driver and not yet persisted.
 #[derive(Debug, Clone)]
 pub(super) struct IssuedWrite {
     pub number: WriteNumber,
-    /// Last entry on disk once it is persisted.
+    /// Last entry on disk once the write is persisted.
     pub last: LogPosition,
-    /// The snapshot to be restored once it is persisted.
+    /// Snapshot to restore once the write is persisted.
     pub restore: Option<Snapshot>,
 }
 
-/// Messages to be sent, and those held back until a write is persisted.
+/// Messages ready to send, and those held back until a write is persisted.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     sendable: Vec<Envelope>,
@@ -95,7 +95,7 @@
 }
 
 impl Outbox {
-    /// Sends once `needed` is persisted.
+    /// Queues a message that may be sent once `needed` is persisted.
     pub fn push(&mut self, envelope: Envelope, needed: WriteNumber, persisted: WriteNumber) {
         if needed <= persisted {
             self.sendable.push(envelope);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Everything up to `persisted` is on disk.
+    /// Releases the messages whose writes are persisted, up to `persisted`.
     pub fn release(&mut self, persisted: WriteNumber) {
         let held = std::mem::take(&mut self.held);
         for message in held {
--- a/crates/domain/src/consensus/settings.rs
+++ b/crates/domain/src/consensus/settings.rs
@@ -2,29 +2,29 @@
 
 use std::time::Duration;
 
-/// Timing and limits; the same on all members.
+/// Timing and limits; must be the same on all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConsensusSettings {
-    /// Time between a leader's heartbeats.
+    /// Interval between a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time without a leader after which a voter asks for votes, at least; up to twice that at
-    /// random. Also the time within which a leader must hear from a quorum.
+    /// Minimum election timeout; each voter draws from one to two times this value. A leader
+    /// that does not hear from a quorum within this time steps down.
     pub election_timeout: Duration,
-    /// Bytes of commands in one append request, unless one command alone is larger.
+    /// Maximum bytes of entries in one append request; a larger entry is sent alone.
     pub append_bytes: usize,
-    /// Append requests that may be on the way to one follower.
+    /// Maximum append requests in flight to one follower.
     pub append_in_flight: usize,
-    /// Bytes of one part of a snapshot.
+    /// Bytes of one snapshot chunk.
     pub snapshot_chunk_bytes: usize,
-    /// Bytes of the largest snapshot that is taken from a leader.
+    /// Maximum bytes of a snapshot that is accepted from a leader.
     pub snapshot_bytes_limit: u64,
-    /// Entries that are kept in memory behind a snapshot for followers that lag a little.
+    /// Entries kept in memory behind a snapshot, so that slightly lagging followers need none.
     pub trailing_entries: u64,
-    /// Bytes of the largest command.
+    /// Maximum bytes of a command.
     pub command_bytes_limit: usize,
-    /// Entries that may wait to be committed.
+    /// Maximum uncommitted entries in a leader's log.
     pub uncommitted_entries_limit: u64,
-    /// Entries that a learner may lack when it is promoted.
+    /// Maximum committed entries by which a learner may lag when it is promoted.
     pub promotion_lag: u64,
 }
 
--- a/crates/domain/src/consensus/types.rs
+++ b/crates/domain/src/consensus/types.rs
@@ -1,4 +1,4 @@
-//! Identities, entries and state that is kept on disk.
+//! Member identities, log entries and persisted state.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use crate::identifiers::number_type;
 
 number_type!(
-    /// Number of a term; each term has at most one leader.
+    /// Raft term; each term has at most one leader.
     Term(u64)
 );
 number_type!(
@@ -17,11 +17,11 @@
     LogIndex(u64)
 );
 number_type!(
-    /// Number of a control machine, fixed by its settings.
+    /// Number of a control machine, set in its configuration.
     NodeNumber(u32)
 );
 number_type!(
-    /// Number of a data folder of one machine; a later folder has a higher number.
+    /// Generation of a machine's data folder; a newer folder has a higher number.
     Incarnation(u64)
 );
 
@@ -31,22 +31,22 @@
         Self(self.0 + 1)
     }
 
-    /// The index before this one; that before the first is 0.
+    /// The index before this one, saturating at 0.
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// Identity of a member: a machine together with its data folder.
+/// Identity of a member: a machine and the generation of its data folder.
 ///
-/// A machine that lost its folder has forgotten its votes, so it is another member.
+/// A machine that lost its data folder has lost its vote, so it rejoins as a new member.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MemberId {
-    /// The machine.
+    /// Number of the machine.
     pub node: NodeNumber,
-    /// Its data folder.
+    /// Generation of the machine's data folder.
     pub incarnation: Incarnation,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Term and index of an entry; ordered as Raft compares logs, by term first.
+/// Term and index of an entry, ordered by term first, as Raft compares logs.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -67,35 +67,35 @@
     pub index: LogIndex,
 }
 
-/// What an entry holds.
+/// Content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the entry with which a leader opens its term.
+    /// No-op entry that a leader appends at the start of its term.
     Empty,
     /// A command for the state machine.
     Command(Bytes),
-    /// The members from this entry on.
+    /// Membership in force from this entry on.
     Configuration(Configuration),
 }
 
 /// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that appended it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// Its index.
+    /// Index in the log.
     pub index: LogIndex,
-    /// What it holds.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Term and index.
+    /// Term and index of the entry.
     pub fn position(&self) -> LogPosition {
         LogPosition { term: self.term, index: self.index }
     }
 
-    /// Bytes of the command, if it holds one.
+    /// Command size in bytes; 0 for an entry without a command.
     pub fn size(&self) -> usize {
         match &self.payload {
             Payload::Command(command) => command.len(),
@@ -104,49 +104,49 @@
     }
 }
 
-/// What a member must not forget before it sends anything that follows from it.
+/// State that must be persisted before any message that depends on it is sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term that the member has seen.
+    /// Latest term seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// Candidate that received this member's vote in that term.
     pub vote: Option<MemberId>,
 }
 
-/// What a snapshot covers.
+/// Position and membership that a snapshot covers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMetadata {
-    /// The last entry that it covers.
+    /// Last entry included in the snapshot.
     pub position: LogPosition,
-    /// The members as of that entry.
+    /// Membership as of that entry.
     pub configuration: Configuration,
 }
 
-/// The state machine's state after some entry.
+/// State of the replicated state machine as of a log position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// What it covers.
+    /// Position and membership that the snapshot covers.
     pub metadata: SnapshotMetadata,
-    /// The state, as the state machine wrote it.
+    /// Serialized state, opaque to the consensus core.
     pub data: Bytes,
 }
 
-/// What a member reads back from its data folder.
+/// State that a member restores from its data folder on start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// Term and vote.
+    /// Persisted term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot.
+    /// Latest snapshot, if one was taken or installed.
     pub snapshot: Option<Snapshot>,
-    /// The entries after the snapshot, without a gap.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// The last entry that was known to be committed; it is applied before a leader is found.
+    /// Last entry known to be committed; applied on start, before a leader is elected.
     pub commit: LogIndex,
 }
 
 impl Recovered {
-    /// What the one member that forms a new cluster starts from: a log whose only entry names
-    /// the members. The driver persists it before it starts.
+    /// Initial state of a new cluster: a log whose only entry holds the membership. The driver
+    /// persists it before it starts the node.
     pub fn bootstrap(configuration: Configuration) -> Self {
         let term = Term(1);
         let payload = Payload::Configuration(configuration);
@@ -155,7 +155,7 @@
         Self { hard_state, snapshot: None, entries: vec![entry], commit: LogIndex(0) }
     }
 
-    /// Whether nothing was ever persisted.
+    /// Whether nothing has been persisted yet.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
