--- a/crates/domain/src/cluster/charges.rs
+++ b/crates/domain/src/cluster/charges.rs
@@ -1,7 +1,7 @@
-//! Charges folded from growing counters, one set of counters for each broker run.
+//! Usage charges, aggregated from monotonic counters of each broker run.
 //!
-//! A report carries the counters themselves, not what was added, and counters only grow: the
-//! greatest value seen of each is the truth, whatever was resent, reordered or lost between.
+//! A report carries absolute counter values, not increments. Counters only grow within a run, so
+//! taking the maximum of each makes reports idempotent and tolerant of reordering and loss.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 use super::WallTime;
 use crate::identifiers::{BrokerName, CallerName, ClassName, ServiceName};
 
-/// How long the counters of a run are kept after its last report; then they are settled.
+/// Time after its last report at which a run is settled and its counters are dropped.
 pub const RUN_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
-/// How long a settled run is remembered, so that a late report of it is not counted again.
+/// Time for which a settled run is remembered, so that a late report is not counted twice.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(30 * 24 * 60 * 60);
 
-/// What is charged for: answers of a class to a caller.
+/// Key of a charge: answers of one class of a service to one caller.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ChargeKey {
-    /// Who pays.
+    /// The charged caller.
     pub caller: CallerName,
-    /// The service.
+    /// Service that answered.
     pub service: ServiceName,
-    /// The class.
+    /// Class of the requests.
     pub class: ClassName,
 }
 
-/// Counters of one key; both only grow within a run.
+/// Counters of one key; both are monotonic within a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargeCounter {
-    /// Answered requests.
+    /// Number of answered requests.
     pub answered: u64,
-    /// Units charged for them, at the price at the time of each answer.
+    /// Units charged for the answers, each at the price when it was given.
     pub units: u64,
 }
 
 impl ChargeCounter {
-    /// The greater of each.
+    /// The maximum of each counter.
     fn merged(self, other: Self) -> Self {
         Self { answered: self.answered.max(other.answered), units: self.units.max(other.units) }
     }
@@ -48,32 +48,32 @@
     }
 }
 
-/// One run of a broker.
+/// Identifies one run of a broker process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct RunId {
     broker: BrokerName,
     run: u64,
 }
 
-/// Counters of one broker run, or the part of them that changed.
+/// Counters of one broker run; unchanged ones may be omitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChargeReport {
-    /// The broker.
+    /// The reporting broker.
     pub broker: BrokerName,
-    /// Number of its run, drawn at start.
+    /// Identifier of the broker's run, drawn at start.
     pub run: u64,
-    /// Number of the report within the run, which the receipt repeats.
+    /// Sequence number of the report within the run, echoed in the receipt.
     pub sequence: u64,
-    /// The counters.
+    /// Absolute counter values by key.
     pub counters: BTreeMap<ChargeKey, ChargeCounter>,
 }
 
-/// What became of a report.
+/// Outcome of a charge report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChargeReceipt {
-    /// It is part of the totals, for good.
+    /// The report is included in the replicated totals.
     Recorded,
-    /// The run was settled long ago: nothing was counted, the broker counts on in a new run.
+    /// The run is already settled: nothing was counted, and the broker must start a new run.
     RunSettled,
 }
 
@@ -83,7 +83,7 @@
     counters: BTreeMap<ChargeKey, ChargeCounter>,
 }
 
-/// Totals by caller and class.
+/// Charge totals by caller, service and class, with the state of unsettled runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Charges {
     totals: BTreeMap<ChargeKey, ChargeCounter>,
@@ -93,17 +93,17 @@
 }
 
 impl Charges {
-    /// Totals over all runs.
+    /// Totals over all runs, settled ones included.
     pub fn totals(&self) -> &BTreeMap<ChargeKey, ChargeCounter> {
         &self.totals
     }
 
-    /// Runs whose counters are kept.
+    /// Number of runs not yet settled.
     pub fn open_runs(&self) -> usize {
         self.runs.len()
     }
 
-    /// Folds a report into the totals.
+    /// Merges a report into the totals.
     pub fn record(&mut self, now: WallTime, report: &ChargeReport) -> ChargeReceipt {
         let id = RunId { broker: report.broker.clone(), run: report.run };
         if self.settled.contains_key(&id) {
@@ -120,7 +120,7 @@
         ChargeReceipt::Recorded
     }
 
-    /// Settles runs that reported nothing for [`RUN_RETENTION`]; their part of the totals stays.
+    /// Settles runs without a report for [`RUN_RETENTION`]; their share of the totals is kept.
     pub fn settle(&mut self, now: WallTime) {
         if now < self.next_settling {
             return;
--- a/crates/domain/src/cluster/command.rs
+++ b/crates/domain/src/cluster/command.rs
@@ -17,76 +17,76 @@
 use crate::rollout::{RolloutAdvance, RolloutReport};
 use crate::routes::{AcceptedRoutes, ReplaceOutcome, RouteVersion};
 
-/// One command.
+/// A command of the replicated log with its proposal time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// When it was proposed, by the proposer's clock.
+    /// Proposal time by the proposer's clock.
     pub at: WallTime,
-    /// What is to be done.
+    /// Operation to apply.
     pub body: CommandBody,
 }
 
-/// What a command does.
+/// Operation of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandBody {
     /// An operator changes the catalog.
     Change(ChangeRequest),
     /// A control process renews its lease.
     RenewControl(ControlRenewal),
-    /// A control process tells what changed among the brokers that it feeds.
+    /// A control process reports changes among the brokers that it feeds.
     ReportBrokers {
         /// The control process.
         control: ControlName,
         /// What changed.
         changes: Vec<BrokerChange>,
     },
-    /// A control process tells what changed among the leaves that it polls.
+    /// A control process reports changes among the leaves that it polls.
     ReportLeaves {
         /// The control process.
         control: ControlName,
         /// What changed.
         changes: Vec<LeafHealthChange>,
     },
-    /// Counters of charges, one report for each broker run.
+    /// Charge counters, one report for each broker run.
     ReportCharges(Vec<ChargeReport>),
-    /// What brokers reported of their overload, which sets thresholds.
+    /// Overload reports of brokers, which set the thresholds.
     ReportOverload(Vec<BrokerOverload>),
-    /// Sets the lowest class that brokers admit.
+    /// Sets or removes the load-shedding threshold of a service.
     SetThreshold {
-        /// The service.
+        /// Service that the threshold applies to.
         service: ServiceName,
-        /// The threshold; none admits every class.
+        /// New threshold; `None` admits every class.
         threshold: Option<Threshold>,
     },
-    /// An operator replaced the configuration of routes, in the layout of releases that knew no tenants: it
-    /// is read from logs, and not proposed any more.
+    /// An operator replaced the route configuration, in the layout of releases without tenants.
+    /// Decoded from existing logs only; no longer proposed.
     ReplaceFormerRoutes(Arc<FormerAcceptedRoutes>),
-    /// The poller told what changed in the list of leaves, in the layout of releases that knew no versions of
-    /// their software: it is read from logs, and not proposed any more.
+    /// The poller reported changes to the list of leaves, in the layout of releases without
+    /// software versions. Decoded from existing logs only; no longer proposed.
     ReportFormerDirectory(FormerDirectoryDelta),
-    /// An operator replaces the configuration of routes.
+    /// An operator replaces the route configuration.
     ReplaceRoutes(Arc<AcceptedRoutes>),
-    /// The poller tells what changed in the list of leaves.
+    /// The poller reports changes to the list of leaves.
     ReportDirectory(DirectoryDelta),
-    /// A control process tells what came to light of roll-outs at the brokers that it feeds.
+    /// A control process reports the roll-out evidence of the brokers that it feeds.
     ReportRollouts(Vec<RolloutReport>),
-    /// The leader finds that a roll-out is to go on.
+    /// The leader advances a roll-out to another stage.
     AdvanceRollout(RolloutAdvance),
-    /// A control process tells which requests crash leaves, or do not, as brokers found.
+    /// A control process reports the brokers' findings on requests that may crash leaves.
     ReportCrashes(Vec<CrashFinding>),
-    /// A broker asks whether it may try a refused request at one leaf.
+    /// A broker asks for permission to try a refused request on one leaf.
     GrantTrial {
-        /// The broker.
+        /// The requesting broker.
         broker: BrokerName,
-        /// Number of its question, which the answer repeats.
+        /// Number of the request, echoed in the response.
         ticket: u64,
-        /// What it holds of the request.
+        /// The broker's finding on the refused request.
         finding: CrashFinding,
     },
 }
 
 impl CommandBody {
-    /// The version of a configuration of routes that replaces the one in force.
+    /// Version of the route configuration that the command puts in force, if any.
     pub fn routes_version(&self) -> Option<RouteVersion> {
         match self {
             Self::ReplaceFormerRoutes(former) => Some(former.version()),
@@ -96,12 +96,12 @@
     }
 }
 
-/// Identifies an operator's command over all resends.
+/// Idempotency key of an operator's command, the same for every resend.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CommandId {
     /// The operator's session.
     pub session: SessionName,
-    /// Number of the command within the session; greater than that of the command before.
+    /// Number of the command within the session; strictly increasing.
     pub sequence: u64,
 }
 
@@ -111,82 +111,82 @@
     }
 }
 
-/// An operator's change.
+/// An operator's change to the catalog.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Its identity.
+    /// Idempotency key of the request.
     pub id: CommandId,
-    /// The revision that the operator looked at; none accepts whatever came since.
+    /// Revision that the change is based on; `None` skips the conflict check.
     pub based_on: Option<Revision>,
-    /// The change.
+    /// The requested change.
     pub change: Change,
 }
 
-/// What became of a command.
+/// Outcome of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// It was part of the state before.
+    /// The command was already included in the state.
     AlreadyApplied,
-    /// Of a change.
+    /// Outcome of a catalog change.
     Change(ChangeOutcome),
     /// The report is part of the state.
     Recorded,
-    /// Of charges, in the order of the reports.
+    /// Receipts of charge reports, in the order of the reports.
     Charges(Vec<ChargeReceipt>),
-    /// Of news of roll-outs: those that went on to another stage.
+    /// Roll-outs that advanced to another stage.
     Rollouts(Vec<RolloutAdvance>),
-    /// Of a trial that a broker asked for.
+    /// Outcome of a broker's request for a trial.
     Trial {
         /// Whether the broker may try the request.
         granted: bool,
     },
-    /// Of a replacement of the routes.
+    /// Outcome of a replacement of the route configuration.
     Routes(ReplaceOutcome),
 }
 
-/// What became of a change; recorded for resends.
+/// Outcome of a catalog change; recorded and returned to resends.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It is accepted.
+    /// The change is applied.
     Accepted {
-        /// Revision of the catalog that it gave.
+        /// Catalog revision that the change created.
         revision: Revision,
-        /// When it was proposed.
+        /// Proposal time of the change.
         at: WallTime,
     },
-    /// It changed nothing.
+    /// The change was rejected and had no effect.
     Refused(ChangeRefusal),
 }
 
 quick_error! {
-    /// Why a change was refused; each message names the remedy.
+    /// Reason for a rejected change; each message names the remedy.
     #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
     pub enum ChangeRefusal {
-        /// Another change of the same thing was accepted since the revision that was named.
+        /// A conflicting change was accepted since the base revision.
         Conflict(target: String, first: SessionName, at: WallTime, revision: Revision) {
-            display("{target} was changed first by session {first} at revision {revision} ({} ms since 1970): look at it with SHOW, then repeat the change AT REVISION {revision} or later", at.0)
+            display("{target} was changed concurrently by session {first} at revision {revision} ({} ms since 1970): inspect it with SHOW, then repeat the change AT REVISION {revision} or later", at.0)
         }
-        /// The revision that was named is not reached.
+        /// The base revision is newer than the newest accepted one.
         RevisionAhead(named: Revision, newest: Revision) {
-            display("revision {named} is not accepted yet, the newest is {newest}: name a revision that SHOW REVISION gave")
+            display("revision {named} does not exist yet, the newest is {newest}: name a revision reported by SHOW REVISION")
         }
-        /// The changes since the revision that was named are not kept any more.
+        /// The history no longer covers all changes since the base revision.
         RevisionForgotten(named: Revision, oldest: Revision) {
-            display("revision {named} is too old to compare with, the oldest is {oldest}: look again with SHOW and name the new revision")
+            display("revision {named} is too old to check for conflicts, the oldest usable one is {oldest}: inspect the state with SHOW and name the current revision")
         }
-        /// The number was used for another command.
+        /// The sequence number was already used for a different command.
         SequenceReused(id: CommandId) {
             display("command {id} was another one: number each new command higher than the last")
         }
-        /// A newer command of the session was carried out, and this one is not recorded.
+        /// A newer command of the session was executed, and no outcome of this one is recorded.
         SequenceForgotten(id: CommandId) {
-            display("command {id} is older than the recorded ones, and was not carried out now: look with SHOW whether it was before, and number new commands higher")
+            display("command {id} is older than the recorded ones and was not executed now: check with SHOW whether it was executed before, and number new commands higher")
         }
-        /// No further session can be recorded.
+        /// The limit of recorded sessions is reached.
         TooManySessions(limit: u64) {
-            display("{limit} sessions are in use: go on in one of them with --session, or wait until idle ones expire")
+            display("all {limit} sessions are in use: reuse one with --session, or wait until idle ones expire")
         }
-        /// The catalog refuses the change.
+        /// The change is invalid for the catalog.
         Catalog(error: CatalogError) {
             display("{error}")
         }
--- a/crates/domain/src/cluster/former.rs
+++ b/crates/domain/src/cluster/former.rs
@@ -1,7 +1,8 @@
-//! The replicated state as former releases laid it out: before refused requests, before roll-outs, and before tenants.
+//! Replicated state in the layouts of earlier releases: without refused requests, roll-outs or
+//! tenants.
 //!
-//! Documents of the log do not describe themselves, so that what was written by other types has to be
-//! read by them. Nothing is written by these any more.
+//! The storage format is not self-describing, so documents have to be decoded with the types that
+//! wrote them. These types are only read, never written.
 
 use std::fmt;
 use std::sync::Arc;
@@ -20,7 +21,7 @@
     RouteConfiguration, RouteState, RouteVersion,
 };
 
-/// A configuration with the operator's own text of it.
+/// An accepted route configuration in the earlier layout, with the operator's document.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormerAcceptedRoutes {
     configuration: FormerConfiguration,
@@ -28,7 +29,7 @@
 }
 
 impl fmt::Debug for FormerAcceptedRoutes {
-    /// Without the document, which may tell keys.
+    /// Omits the document, which may contain keys.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("FormerAcceptedRoutes")
@@ -60,24 +61,24 @@
     allowed_regions: RegionPolicy,
 }
 
-/// The routes of releases that knew no tenants.
+/// Route state of releases without tenants.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormerRouteState {
     current: Option<FormerAcceptedRoutes>,
 }
 
-/// The state of the control tier of releases that knew no tenants.
+/// Replicated state of releases without tenants.
 pub type StateWithoutTenants =
     FormerClusterState<NoRollouts, FormerRouteState, FormerLeafDirectory, NoRollouts>;
-/// The state of the control tier of releases that knew no roll-outs.
+/// Replicated state of releases without roll-outs.
 pub type StateWithoutRollouts =
     FormerClusterState<NoRollouts, RouteState, FormerLeafDirectory, NoRollouts>;
-/// The state of the control tier of releases that kept no refused requests.
+/// Replicated state of releases without refused requests.
 pub type StateWithoutRefusedRequests =
     FormerClusterState<FormerRollouts, RouteState, LeafDirectory, RolloutEvidence>;
 
-/// The state of the control tier of a former release, by how it laid out roll-outs, routes, the list of leaves and what
-/// was reported of roll-outs.
+/// Replicated state of an earlier release, generic over its layouts of roll-outs, routes, the list
+/// of leaves and the roll-out evidence.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormerClusterState<Rollouts, Routes, Directory, Evidence> {
     applied: LogIndex,
@@ -96,7 +97,7 @@
 }
 
 impl FormerAcceptedRoutes {
-    /// Its version.
+    /// Version of the route configuration.
     pub fn version(&self) -> RouteVersion {
         self.configuration.version
     }
--- a/crates/domain/src/cluster/history.rs
+++ b/crates/domain/src/cluster/history.rs
@@ -1,4 +1,4 @@
-//! The last accepted changes: for conflicts, for the feeds of brokers and for operators.
+//! Bounded history of accepted changes, for conflict checks, broker feeds and operators.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,26 +13,26 @@
     ShardId, ZoneName,
 };
 
-/// Changes that are kept: more than a day of them at the size to design for.
+/// Maximum changes kept: more than one day of changes at the designed fleet size.
 pub const HISTORY_LIMIT: usize = 1024;
 
-/// A change as accepted.
+/// An accepted catalog change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The revision that it gave.
+    /// Catalog revision that the change created.
     pub revision: Revision,
-    /// When it was proposed.
+    /// Proposal time of the change.
     pub at: WallTime,
-    /// The session that proposed it.
+    /// Session that proposed the change.
     pub session: SessionName,
-    /// The change.
+    /// The applied change.
     pub change: Change,
 }
 
-/// A thing that a change concerns. Two changes conflict when they share one.
+/// Object that a change modifies; changes with equal or nested targets conflict.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
-    /// A leaf.
+    /// A leaf by its id.
     Leaf(LeafId),
     /// A service as a whole.
     Service(ServiceName),
@@ -44,20 +44,20 @@
     Shard(ServiceName, ShardId),
     /// A caller's account.
     Caller(CallerName),
-    /// A broker.
+    /// A broker by its name.
     Broker(BrokerName),
-    /// A control process.
+    /// A control process by its name.
     Control(ControlName),
-    /// A zone.
+    /// A zone by its name.
     Zone(ZoneName),
     /// The roll-out of a service.
     Rollout(ServiceName),
-    /// A request that is refused.
+    /// A refused request by its digest.
     Request(RequestDigest),
 }
 
 impl Target {
-    /// What a change concerns.
+    /// The object that a change modifies.
     pub fn of(change: &Change) -> Self {
         match change {
             Change::AddLeaf(leaf) => Self::Leaf(leaf.id),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether a change of one leaves a change of the other without its ground.
+    /// Whether concurrent changes of the two targets conflict.
     pub fn conflicts_with(&self, other: &Self) -> bool {
         self == other || self.contains(other) || other.contains(self)
     }
@@ -133,7 +133,8 @@
 }
 
 impl History {
-    /// The changes after `revision`; none when some of them are not kept any more.
+    /// The changes after `revision`; `None` when `revision` is ahead of `newest` or when some of
+    /// the changes have been dropped.
     pub fn since(
         &self,
         newest: Revision,
@@ -144,16 +145,16 @@
         Some(self.changes.range(first..))
     }
 
-    /// The changes that are kept, newest first.
+    /// All retained changes, newest first.
     pub fn newest_first(&self) -> impl Iterator<Item = &AcceptedChange> {
         self.changes.iter().rev()
     }
 
-    /// Checks a change that was made against `based_on`.
+    /// Checks a change based on `based_on` for conflicts with later changes.
     ///
     /// # Errors
-    /// [`ChangeRefusal::Conflict`] names the first change since that concerns the same; the
-    /// others say that `based_on` cannot be compared with.
+    /// [`ChangeRefusal::Conflict`] names the first conflicting change. The other errors mean that
+    /// `based_on` is ahead of the newest revision or no longer covered by the history.
     pub fn check(
         &self,
         newest: Revision,
@@ -168,8 +169,9 @@
             return Err(ChangeRefusal::RevisionForgotten(based_on, oldest));
         };
         let target = Target::of(change);
-        let rival = since.find(|accepted| Target::of(&accepted.change).conflicts_with(&target));
-        match rival {
+        let conflicting =
+            since.find(|accepted| Target::of(&accepted.change).conflicts_with(&target));
+        match conflicting {
             None => Ok(()),
             Some(first) => Err(ChangeRefusal::Conflict(
                 target.to_string(),
@@ -180,7 +182,7 @@
         }
     }
 
-    /// The revision of the last change of `target`; none where none is kept.
+    /// Revision of the last retained change of exactly this target, if any.
     pub fn last_change(&self, target: &Target) -> Option<Revision> {
         let same = |accepted: &&AcceptedChange| Target::of(&accepted.change) == *target;
         self.newest_first().find(same).map(|accepted| accepted.revision)
--- a/crates/domain/src/cluster/leaf_health.rs
+++ b/crates/domain/src/cluster/leaf_health.rs
@@ -1,4 +1,5 @@
-//! What control processes saw of leaves: a hint for brokers, who decide by their own outcomes.
+//! Leaf health as polled by control processes. This is a hint: brokers decide by the outcomes of
+//! their own requests.
 
 use std::collections::BTreeMap;
 
@@ -7,30 +8,30 @@
 use crate::catalog::{Catalog, Change};
 use crate::identifiers::{ControlName, LeafId};
 
-/// What a leaf said of itself when it was polled last.
+/// Health of a leaf as of its last poll.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeafHealth {
-    /// It takes work.
+    /// The leaf accepts requests.
     #[default]
     Serving,
-    /// It is leaving.
+    /// The leaf is draining.
     Leaving,
-    /// It cannot take work.
+    /// The leaf reports that it cannot serve requests.
     Unhealthy,
-    /// It did not answer.
+    /// The leaf did not answer the poll.
     Unreachable,
 }
 
-/// A leaf whose health changed.
+/// A health change of one leaf.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafHealthChange {
-    /// The leaf.
+    /// Id of the leaf.
     pub leaf: LeafId,
-    /// What it says now.
+    /// New health.
     pub health: LeafHealth,
 }
 
-/// Leaves that are not [`LeafHealth::Serving`], and who saw it.
+/// Leaves that are not [`LeafHealth::Serving`], with the control process that reported each.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafHints {
     hints: BTreeMap<LeafId, (LeafHealth, ControlName)>,
@@ -38,17 +39,17 @@
 }
 
 impl LeafHints {
-    /// Grows with each change, so that feeds see that there is one.
+    /// Version that increases with each change, by which feeds detect changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What a leaf said last; serving when nothing else is known.
+    /// Last reported health of a leaf; [`LeafHealth::Serving`] when none is recorded.
     pub fn health(&self, leaf: LeafId) -> LeafHealth {
         self.hints.get(&leaf).map_or(LeafHealth::Serving, |(health, _)| *health)
     }
 
-    /// Leaves that say that they are leaving.
+    /// Leaves that report to be draining.
     pub fn leaving(&self) -> Vec<LeafId> {
         let leaving = |health: LeafHealth| health == LeafHealth::Leaving;
         let hints = self.hints.iter().filter(|(_, (health, _))| leaving(*health));
--- a/crates/domain/src/cluster/members.rs
+++ b/crates/domain/src/cluster/members.rs
@@ -1,4 +1,4 @@
-//! Control processes and brokers: leases, places and revisions in force.
+//! Live control processes and brokers: leases, placements and revisions in force.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,86 +10,86 @@
 use crate::catalog::{Change, Placement};
 use crate::identifiers::{BrokerName, ControlName, Revision};
 
-/// How long a control process counts as live after its last renewal; renewed every second or two.
+/// Lease of a control process, counted from its last renewal; renewed every one or two seconds.
 pub const CONTROL_LEASE: Duration = Duration::from_secs(10);
 
-/// How long a broker that is gone counts among those that may still be serving: a broker that is only
-/// cut off goes on with what it has, and cuts between regions last for minutes.
+/// Time for which a departed broker counts as possibly still serving. A partitioned broker goes on
+/// serving with its last state, and partitions between regions last for minutes.
 pub const DEPARTED_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// A control process says that it is there.
+/// Lease renewal of a control process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlRenewal {
-    /// Its name.
+    /// Name of the control process.
     pub control: ControlName,
-    /// Number of its run, drawn at start.
+    /// Identifier of the process's run, drawn at start.
     pub run: u64,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Where brokers reach it.
+    /// Address for broker feeds.
     pub feed: SocketAddr,
 }
 
 /// A control process that holds a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlRecord {
-    /// Its last renewal.
+    /// Last renewal.
     pub renewal: ControlRenewal,
-    /// When the lease ends.
+    /// End of the lease.
     pub lease_until: WallTime,
 }
 
-/// What changed about a broker, as the control process sees it that feeds it.
+/// A change of a broker, as seen by the control process that feeds the broker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BrokerChange {
-    /// It subscribed, or put another revision in force.
+    /// The broker subscribed, or put another revision in force.
     Follows {
-        /// The broker.
+        /// Name of the broker.
         broker: BrokerName,
-        /// Number of its run, drawn at start.
+        /// Identifier of the broker's run, drawn at start.
         run: u64,
-        /// Where it runs.
+        /// Region and zone of the broker.
         placement: Placement,
-        /// The revision that it has in force.
+        /// Catalog revision in force at the broker.
         in_force: Revision,
     },
-    /// Its link is lost, and it has not come back within its lease.
+    /// The broker's link was lost, and the broker did not reconnect within its lease.
     Left {
-        /// The broker.
+        /// Name of the broker.
         broker: BrokerName,
-        /// Number of the run that left.
+        /// Identifier of the run that left.
         run: u64,
     },
 }
 
-/// A broker that follows the catalog.
+/// A broker that holds a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokerRecord {
-    /// Number of its run.
+    /// Identifier of the broker's run.
     pub run: u64,
-    /// Where it runs.
+    /// Region and zone of the broker.
     pub placement: Placement,
-    /// The control process that feeds it.
+    /// Control process that feeds the broker.
     pub control: ControlName,
-    /// The revision that it has in force.
+    /// Catalog revision in force at the broker.
     pub in_force: Revision,
-    /// When it counts as gone unless its control process renews its own lease.
+    /// End of the lease, extended by each renewal of the broker's control process.
     pub lease_until: WallTime,
 }
 
-/// A broker whose lease is over. It may be cut off and still serve its callers.
+/// A broker whose lease ended; it may be partitioned and still serve its callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DepartedBroker {
-    /// Where it ran.
+    /// Last known region and zone.
     pub placement: Placement,
-    /// When it is forgotten.
+    /// Time at which the record is dropped.
     pub until: WallTime,
 }
 
-/// All control processes and brokers that hold a lease, and the brokers that held one lately.
+/// All control processes and brokers that hold a lease, and recently departed brokers.
 ///
-/// A broker's lease is that of the control process that feeds it: 1,600 brokers cost the log no
-/// renewals of their own.
+/// A broker's lease is renewed together with that of its control process, so that 1,600 brokers
+/// add no renewals to the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     controls: BTreeMap<ControlName, ControlRecord>,
@@ -98,27 +98,27 @@
 }
 
 impl Members {
-    /// Live control processes by name.
+    /// Control processes that hold a lease, by name.
     pub fn controls(&self) -> &BTreeMap<ControlName, ControlRecord> {
         &self.controls
     }
 
-    /// Live brokers by name.
+    /// Brokers that hold a lease, by name.
     pub fn brokers(&self) -> &BTreeMap<BrokerName, BrokerRecord> {
         &self.brokers
     }
 
-    /// Brokers that are gone and may still be serving, by name.
+    /// Departed brokers that may still be serving, by name.
     pub fn departed(&self) -> &BTreeMap<BrokerName, DepartedBroker> {
         &self.departed
     }
 
-    /// The revision that every live broker has in force; `accepted` when there is none.
+    /// Lowest revision in force at any live broker; `accepted` when no broker is live.
     pub fn in_force_everywhere(&self, accepted: Revision) -> Revision {
         self.brokers.values().map(|broker| broker.in_force).min().unwrap_or(accepted)
     }
 
-    /// Brokers that have not put `accepted` in force, by name.
+    /// Live brokers that have not put `accepted` in force yet.
     pub fn lagging(
         &self,
         accepted: Revision,
@@ -132,7 +132,7 @@
         let previous = self.controls.insert(renewal.control.clone(), record);
         let same_run = previous.is_none_or(|previous| previous.renewal.run == renewal.run);
         let fed = self.brokers.values_mut().filter(|broker| broker.control == renewal.control);
-        // A control process that restarted feeds nobody yet: its brokers come back or expire.
+        // A restarted control process feeds no broker yet: its brokers reconnect or expire.
         if same_run {
             fed.for_each(|broker| broker.lease_until = lease_until);
         }
@@ -165,7 +165,7 @@
             BrokerChange::Left { broker, run } => {
                 let left = |known: &BrokerRecord| known.run == *run && known.control == *control;
                 if self.brokers.get(broker).is_some_and(left) {
-                    self.depart(now, broker);
+                    self.mark_departed(now, broker);
                 }
             }
         }
@@ -173,14 +173,14 @@
 
     pub(super) fn expire(&mut self, now: WallTime) {
         self.controls.retain(|_, control| control.lease_until > now);
-        let over = |(_, broker): &(&BrokerName, &BrokerRecord)| broker.lease_until <= now;
-        let gone: Vec<BrokerName> =
-            self.brokers.iter().filter(over).map(|(name, _)| name.clone()).collect();
-        gone.iter().for_each(|broker| self.depart(now, broker));
+        let is_expired = |(_, broker): &(&BrokerName, &BrokerRecord)| broker.lease_until <= now;
+        let expired: Vec<BrokerName> =
+            self.brokers.iter().filter(is_expired).map(|(name, _)| name.clone()).collect();
+        expired.iter().for_each(|broker| self.mark_departed(now, broker));
         self.departed.retain(|_, broker| broker.until > now);
     }
 
-    fn depart(&mut self, now: WallTime, broker: &BrokerName) {
+    fn mark_departed(&mut self, now: WallTime, broker: &BrokerName) {
         if let Some(record) = self.brokers.remove(broker) {
             let until = now.after(DEPARTED_RETENTION);
             let departed = DepartedBroker { placement: record.placement, until };
@@ -190,7 +190,7 @@
 
     pub(super) fn forget_removed(&mut self, now: WallTime, change: &Change) {
         match change {
-            Change::RemoveBroker(broker) => self.depart(now, broker),
+            Change::RemoveBroker(broker) => self.mark_departed(now, broker),
             Change::RemoveControl(control) => {
                 self.controls.remove(control);
             }
--- a/crates/domain/src/cluster/mod.rs
+++ b/crates/domain/src/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! The replicated state of the control tier.
 //!
-//! Every control process applies the same commands in the same order to a [`ClusterState`] and
-//! so holds the same catalog, sessions, members, hints and charges. Nothing here reads a clock:
-//! commands carry the time at which they were proposed.
+//! Every control process applies the same commands in the same order to a [`ClusterState`], so all
+//! hold the same catalog, sessions, members, hints and charges. Application is deterministic: it
+//! reads no clock, and commands carry their proposal time.
 
 mod charges;
 mod command;
@@ -55,7 +55,7 @@
 pub use thresholds::{Threshold, Thresholds};
 pub use wall_time::WallTime;
 
-/// The state that all control processes agree on.
+/// The replicated state machine of the control tier.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterState {
     applied: LogIndex,
@@ -75,67 +75,67 @@
 }
 
 impl ClusterState {
-    /// Index of the last command applied.
+    /// Log index of the last applied command.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// The time as the commands tell it.
+    /// Replicated time, derived from the proposal times of commands.
     pub fn now(&self) -> WallTime {
         self.now
     }
 
-    /// The configuration.
+    /// The operators' catalog.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// The last accepted changes.
+    /// Recent accepted changes.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Control processes and brokers.
+    /// Live control processes and brokers.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// What the control processes saw of leaves.
+    /// Leaf health as polled by the control processes.
     pub fn leaf_hints(&self) -> &LeafHints {
         &self.leaf_hints
     }
 
-    /// What callers are charged.
+    /// Usage charges of callers.
     pub fn charges(&self) -> &Charges {
         &self.charges
     }
 
-    /// The lowest class admitted, of each service.
+    /// Load-shedding threshold of each service.
     pub fn thresholds(&self) -> &Thresholds {
         &self.thresholds
     }
 
-    /// The configuration of routes.
+    /// The route configuration.
     pub fn routes(&self) -> &RouteState {
         &self.routes
     }
 
-    /// The list of leaves.
+    /// The polled list of leaves.
     pub fn directory(&self) -> &LeafDirectory {
         &self.directory
     }
 
-    /// What brokers reported of roll-outs.
+    /// Roll-out evidence reported by brokers.
     pub fn rollout_evidence(&self) -> &RolloutEvidence {
         &self.rollout_evidence
     }
 
-    /// The requests that no broker sends to leaves.
+    /// Requests that brokers refuse because they crash leaves.
     pub fn refused_requests(&self) -> &RefusedRequests {
         &self.refused_requests
     }
 
-    /// Applies the command at `index` of the log; one at or before the last is left out.
+    /// Applies the command at log position `index`; a no-op when it was already applied.
     pub fn apply(&mut self, index: LogIndex, command: &Command) -> CommandOutcome {
         if index <= self.applied {
             return CommandOutcome::AlreadyApplied;
@@ -144,7 +144,7 @@
         self.advance_time(command.at);
         match &command.body {
             CommandBody::Change(request) => {
-                CommandOutcome::Change(self.change(command.at, request))
+                CommandOutcome::Change(self.apply_change(command.at, request))
             }
             CommandBody::RenewControl(renewal) => {
                 self.members.renew_control(self.now, renewal);
@@ -199,7 +199,7 @@
                 CommandOutcome::Trial { granted: self.grant_trial(finding) }
             }
             CommandBody::ReportDirectory(delta) => {
-                // One that was made against another list is made anew with the next poll.
+                // A delta against another list is discarded; the next poll creates a new one.
                 self.directory.apply(delta);
                 CommandOutcome::Recorded
             }
@@ -207,7 +207,7 @@
     }
 
     fn advance_time(&mut self, at: WallTime) {
-        self.now = self.now.follow(at);
+        self.now = self.now.advance_to(at);
         self.sessions.expire(self.now);
         self.members.expire(self.now);
         self.charges.settle(self.now);
@@ -219,7 +219,7 @@
     fn report_crashes(&mut self, findings: &[CrashFinding]) {
         for finding in findings {
             match finding.verdict {
-                // Too short-lived to be kept here: brokers are told of it, and forget it by themselves.
+                // Too short-lived to replicate: brokers are notified and expire it on their own.
                 Verdict::Suspected => {}
                 Verdict::Refused => self.refused_requests.refuse(self.now, finding),
                 Verdict::Cleared => {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Grants a trial of a request, also of one whose proof was lost on its way here.
+    /// Grants a trial of a request. A refusal that was lost in transit is recorded first.
     fn grant_trial(&mut self, finding: &CrashFinding) -> bool {
         if self.refused_requests.get(finding.digest).is_none() {
             let due_now = CrashFinding { for_ms: 0, ..finding.clone() };
@@ -238,20 +238,20 @@
         self.refused_requests.grant_trial(self.now, finding.digest)
     }
 
-    /// A change, once for each session and sequence number.
-    fn change(&mut self, at: WallTime, request: &ChangeRequest) -> ChangeOutcome {
+    /// Applies a change at most once per session and sequence number.
+    fn apply_change(&mut self, at: WallTime, request: &ChangeRequest) -> ChangeOutcome {
         if let Some(outcome) = self.sessions.recorded(request) {
             return outcome;
         }
         let outcome = match self.sessions.admit(&request.id) {
-            Ok(()) => self.carry_out(at, request),
+            Ok(()) => self.execute(at, request),
             Err(refusal) => return ChangeOutcome::Refused(refusal),
         };
         self.sessions.record(self.now, request, &outcome);
         outcome
     }
 
-    fn carry_out(&mut self, at: WallTime, request: &ChangeRequest) -> ChangeOutcome {
+    fn execute(&mut self, at: WallTime, request: &ChangeRequest) -> ChangeOutcome {
         match self.try_change(at, request) {
             Ok(revision) => ChangeOutcome::Accepted { revision, at },
             Err(refusal) => ChangeOutcome::Refused(refusal),
@@ -266,7 +266,7 @@
         if let Some(based_on) = request.based_on {
             self.history.check(self.catalog.revision(), based_on, &request.change)?;
         }
-        self.check_named(&request.change).map_err(ChangeRefusal::Catalog)?;
+        self.check_references(&request.change).map_err(ChangeRefusal::Catalog)?;
         let revision = self.catalog.apply(&request.change).map_err(ChangeRefusal::Catalog)?;
         if let Change::ReleaseRequest(digest) = &request.change {
             self.refused_requests.release(*digest);
@@ -282,8 +282,8 @@
         Ok(revision)
     }
 
-    /// What a change names has to exist, as far as the catalog does not know it by itself.
-    fn check_named(&self, change: &Change) -> Result<(), CatalogError> {
+    /// Checks objects named by a change that the catalog itself does not hold.
+    fn check_references(&self, change: &Change) -> Result<(), CatalogError> {
         match change {
             Change::ReleaseRequest(digest) if self.refused_requests.get(*digest).is_none() => {
                 Err(CatalogError::RequestNotRefused(*digest))
@@ -292,7 +292,7 @@
         }
     }
 
-    /// A process joins by itself, so its first mention by operators must be one that is live.
+    /// Brokers join on their own, so a change may also name a live broker outside the catalog.
     fn check_member(&self, change: &Change) -> Result<(), CatalogError> {
         match change {
             Change::SetBrokerState { broker, .. } | Change::RemoveBroker(broker) => {
--- a/crates/domain/src/cluster/overload.rs
+++ b/crates/domain/src/cluster/overload.rs
@@ -1,14 +1,15 @@
-//! Overload of all brokers of a service, folded into one threshold.
+//! Load shedding: aggregates the overload reports of all brokers of a service into one threshold.
 //!
-//! Brokers never talk to each other: one that is asked for a low class may take the slots of
-//! leaves that another needs for a higher one. The rules, whose reasons are in
+//! Brokers do not communicate with each other, so one that serves a low class may occupy leaf
+//! slots that another needs for a higher class. The rules, explained in
 //! `docs/design/admission.md`:
 //!
-//! - A class presses when a broker with every slot busy refuses a share of it. The highest class
-//!   that presses anywhere becomes the lowest one admitted everywhere, at once.
-//! - The threshold falls by one class after a time in which no admitted class but the lowest
-//!   pressed and the brokers had room.
-//! - It ends by itself when nobody reports.
+//! - A class is overloaded when a broker without a free slot refuses a share of its requests. The
+//!   highest class that is overloaded at any broker becomes the lowest one admitted at all brokers,
+//!   at once.
+//! - The threshold steps down by one class after a period in which the brokers had spare capacity
+//!   and no admitted class was overloaded, except the lowest one.
+//! - The threshold expires when no broker reports any more.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,18 +20,18 @@
 use crate::admission::OverloadReport;
 use crate::identifiers::{BrokerName, ServiceName};
 
-/// When a threshold rises and falls.
+/// Conditions under which a threshold rises, steps down and expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OverloadSettings {
-    /// Refused share of a class, in hundredths, from which it presses.
+    /// Refused percentage of a class's requests from which the class counts as overloaded.
     pub refused_percent: u64,
-    /// Share of busy slots over all brokers, in hundredths, below which there is room.
+    /// Percentage of busy slots over all brokers below which there is spare capacity.
     pub utilization_percent: u64,
-    /// Time with room, without a class that presses, before the threshold falls by one class.
+    /// Period of spare capacity without overload before the threshold steps down by one class.
     pub step_down_after: Duration,
-    /// Time for which a report counts.
+    /// Time for which a broker's report is valid.
     pub report_ttl: Duration,
-    /// Time from the last report of a service to the end of its threshold.
+    /// Time from the last report of a service to the expiry of its threshold.
     pub threshold_ttl: Duration,
 }
 
@@ -46,35 +47,35 @@
     }
 }
 
-/// What one broker reported of one service; `offered` and `refused` count since its report before.
+/// Overload report of one broker; `offered` and `refused` count since its previous report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokerOverload {
-    /// The broker.
+    /// The reporting broker.
     pub broker: BrokerName,
-    /// Its report.
+    /// Slots and classes of one service.
     pub report: OverloadReport,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Received {
+struct ReceivedReport {
     at: WallTime,
     report: OverloadReport,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct ServiceOverload {
-    brokers: BTreeMap<BrokerName, Received>,
-    room_since: Option<WallTime>,
+    brokers: BTreeMap<BrokerName, ReceivedReport>,
+    headroom_since: Option<WallTime>,
 }
 
-/// The reports of all brokers.
+/// Valid overload reports of all brokers, by service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverloadAggregator {
     services: BTreeMap<ServiceName, ServiceOverload>,
 }
 
 impl OverloadAggregator {
-    /// Takes a report in and sets the threshold of its service.
+    /// Records a report and updates the threshold of its service.
     pub fn report(
         &mut self,
         settings: &OverloadSettings,
@@ -84,50 +85,51 @@
     ) {
         let name = &reported.report.service;
         let service = self.services.entry(name.clone()).or_default();
-        let received = Received { at: now, report: reported.report.clone() };
+        let received = ReceivedReport { at: now, report: reported.report.clone() };
         service.brokers.insert(reported.broker.clone(), received);
         let before = thresholds.of(name).map(|threshold| threshold.lowest_admitted);
-        let lowest_admitted = service.fold(settings, now, before);
+        let lowest_admitted = service.update(settings, now, before);
         let until = now.after(settings.threshold_ttl);
         let threshold = lowest_admitted.map(|lowest_admitted| Threshold { lowest_admitted, until });
         thresholds.set(name.clone(), threshold);
     }
 
-    /// Forgets services that nobody reports on any more.
+    /// Drops services without a recent report.
     pub fn expire(&mut self, settings: &OverloadSettings, now: WallTime) {
-        let lives = |received: &Received| now.since(received.at) < settings.threshold_ttl;
+        let lives = |received: &ReceivedReport| now.since(received.at) < settings.threshold_ttl;
         self.services.retain(|_, service| service.brokers.values().any(lives));
     }
 }
 
 impl ServiceOverload {
-    /// The lowest class to admit now; none when all are.
-    fn fold(
+    /// Lowest class to admit from now on; `None` admits every class.
+    fn update(
         &mut self,
         settings: &OverloadSettings,
         now: WallTime,
         before: Option<u8>,
     ) -> Option<u8> {
         self.brokers.retain(|_, received| now.since(received.at) < settings.report_ttl);
-        let pressing = self.reports().filter_map(|report| pressing_class(settings, report)).min();
-        if let Some(pressing) = pressing
-            && before.is_none_or(|before| pressing <= before)
+        let overloaded =
+            self.reports().filter_map(|report| highest_overloaded_class(settings, report)).min();
+        if let Some(overloaded) = overloaded
+            && before.is_none_or(|before| overloaded <= before)
         {
-            self.room_since = None;
-            return self.unless_lowest(pressing);
+            self.headroom_since = None;
+            return self.unless_lowest_class(overloaded);
         }
         let before = before?;
-        if pressing.is_some() || !self.has_room(settings) {
-            self.room_since = None;
+        if overloaded.is_some() || !self.has_headroom(settings) {
+            self.headroom_since = None;
             return Some(before);
         }
-        let room_since = *self.room_since.get_or_insert(now);
-        if now.since(room_since) < settings.step_down_after {
+        let headroom_since = *self.headroom_since.get_or_insert(now);
+        if now.since(headroom_since) < settings.step_down_after {
             return Some(before);
         }
-        self.room_since = Some(now);
+        self.headroom_since = Some(now);
         let next = self.classes().filter(|priority| *priority > before).min();
-        next.and_then(|next| self.unless_lowest(next))
+        next.and_then(|next| self.unless_lowest_class(next))
     }
 
     fn reports(&self) -> impl Iterator<Item = &OverloadReport> {
@@ -138,26 +140,26 @@
         self.reports().flat_map(|report| report.classes.iter().map(|class| class.priority))
     }
 
-    /// A threshold at the lowest class shuts nothing out.
-    fn unless_lowest(&self, priority: u8) -> Option<u8> {
+    /// `priority`, unless it is the lowest class: a threshold there would refuse nothing.
+    fn unless_lowest_class(&self, priority: u8) -> Option<u8> {
         self.classes().any(|other| other > priority).then_some(priority)
     }
 
-    fn has_room(&self, settings: &OverloadSettings) -> bool {
+    fn has_headroom(&self, settings: &OverloadSettings) -> bool {
         let running: u64 = self.reports().map(|report| u64::from(report.running)).sum();
         let slots: u64 = self.reports().map(|report| u64::from(report.concurrency)).sum();
         running * 100 < slots * settings.utilization_percent
     }
 }
 
-/// The highest admitted class of which a broker without a free slot refuses a share.
-fn pressing_class(settings: &OverloadSettings, report: &OverloadReport) -> Option<u8> {
+/// Highest admitted class that is overloaded, for a broker without a free slot.
+fn highest_overloaded_class(settings: &OverloadSettings, report: &OverloadReport) -> Option<u8> {
     if report.running < report.concurrency {
         return None;
     }
     let admitted = report.classes.iter().filter(|class| class.priority <= report.lowest_admitted);
-    let pressing = admitted.filter(|class| {
+    let overloaded = admitted.filter(|class| {
         class.refused > 0 && class.refused * 100 >= class.offered * settings.refused_percent
     });
-    pressing.map(|class| class.priority).min()
+    overloaded.map(|class| class.priority).min()
 }
--- a/crates/domain/src/cluster/polling.rs
+++ b/crates/domain/src/cluster/polling.rs
@@ -1,10 +1,12 @@
-//! Which control process polls which leaf.
+//! Assignment of leaves to the control processes that poll them.
 
 use crate::hash::hash;
 use crate::identifiers::{ControlName, LeafId};
 
-/// The control process that polls a leaf, by rendezvous hashing: when one goes, only its own
-/// leaves move. None when there are no control processes.
+/// The control process that polls a leaf; `None` when there are no control processes.
+///
+/// Rendezvous hashing keeps assignments stable: when a control process leaves, only its own leaves
+/// are reassigned.
 pub fn assigned_poller<'name>(
     leaf: LeafId,
     controls: impl IntoIterator<Item = &'name ControlName>,
--- a/crates/domain/src/cluster/refused_requests.rs
+++ b/crates/domain/src/cluster/refused_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that no broker sends to leaves, because leaves crash under them.
+//! Requests that all brokers refuse because they crash leaves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,52 +8,52 @@
 use super::WallTime;
 use crate::crash_suspects::{CrashFinding, REFUSAL_RETENTION, RequestDigest, Verdict};
 
-/// Requests that are kept: fewer than a broker keeps.
+/// Maximum refused requests kept; less than a broker's own limit.
 const REFUSED_LIMIT: usize = 512;
-/// Trials of a request over all brokers: a leaf ends under each if the verdict is right. After them only an operator
-/// can release the request.
+/// Maximum trials of a request over all brokers. Each trial crashes a leaf if the verdict is right;
+/// after the last one only an operator can release the request.
 const TRIAL_LIMIT: u32 = 2;
-/// Time from a trial to the next one, if no leaf ends under the first.
+/// Minimum interval between trials when no leaf crashes in the earlier one.
 const TRIAL_INTERVAL: Duration = Duration::from_secs(300);
-/// What brokers are told where no trial is left.
+/// Wait reported to brokers when no trial is left.
 const NO_TRIAL_MS: u32 = u32::MAX;
 
-/// A request under which leaves have ended.
+/// A request that has crashed leaves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRequest {
-    /// Name of its route.
+    /// Name of the request's route.
     pub route: String,
-    /// Leaves that ended under it, as far as is known.
+    /// Known number of leaves that the request crashed.
     pub leaves: u32,
-    /// Trials that were granted.
+    /// Number of trials granted so far.
     pub trials: u32,
-    /// From when on the next trial may be granted; none where no trial is left.
+    /// Earliest time of the next trial; `None` when no trial is left.
     pub next_trial: Option<WallTime>,
-    /// When it was last proved to crash leaves, or a trial was granted.
+    /// Time of the last proof of a crash or the last granted trial.
     changed: WallTime,
 }
 
-/// All refused requests. They are kept until a leaf replies to one, an operator releases it, or nothing is heard of it
-/// for a day.
+/// All refused requests. A request is kept until a leaf answers it, an operator releases it, or it
+/// has neither been proved to crash leaves nor been granted a trial for a day.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRequests {
     by_digest: BTreeMap<RequestDigest, RefusedRequest>,
 }
 
 impl RefusedRequests {
-    /// A request by its digest.
+    /// Looks up a refused request.
     pub fn get(&self, digest: RequestDigest) -> Option<&RefusedRequest> {
         self.by_digest.get(&digest)
     }
 
-    /// All of them by digest.
+    /// All refused requests, in the order of their digests.
     pub fn all(&self) -> impl Iterator<Item = (RequestDigest, &RefusedRequest)> {
         self.by_digest.iter().map(|(digest, refused)| (*digest, refused))
     }
 
-    /// A broker proved that a request crashes leaves. The trials that were granted still count.
+    /// Records a broker's proof that a request crashes leaves; trials already granted still count.
     pub fn refuse(&mut self, now: WallTime, finding: &CrashFinding) {
-        self.make_room(finding.digest);
+        self.evict_for(finding.digest);
         let unknown = || RefusedRequest {
             route: finding.route.clone(),
             leaves: 0,
@@ -63,10 +63,10 @@
         };
         let refused = self.by_digest.entry(finding.digest).or_insert_with(unknown);
         refused.leaves = refused.leaves.max(finding.leaves);
-        refused.wait_for_trial(now, Duration::from_millis(finding.for_ms.into()));
+        refused.schedule_trial(now, Duration::from_millis(finding.for_ms.into()));
     }
 
-    /// Grants a trial of a request, if one is due; gives whether it was granted.
+    /// Grants a trial of a request if one is due; returns whether it did.
     pub fn grant_trial(&mut self, now: WallTime, digest: RequestDigest) -> bool {
         let Some(refused) = self.by_digest.get_mut(&digest) else {
             return false;
@@ -75,21 +75,21 @@
             return false;
         }
         refused.trials += 1;
-        refused.wait_for_trial(now, TRIAL_INTERVAL);
+        refused.schedule_trial(now, TRIAL_INTERVAL);
         true
     }
 
-    /// A leaf replied to a request, or an operator releases it; gives whether it was refused.
+    /// Releases a request that a leaf answered or an operator cleared; returns whether it existed.
     pub fn release(&mut self, digest: RequestDigest) -> bool {
         self.by_digest.remove(&digest).is_some()
     }
 
-    /// Forgets what nothing was heard of for a day.
+    /// Drops requests without a proof or a trial for [`REFUSAL_RETENTION`].
     pub fn expire(&mut self, now: WallTime) {
         self.by_digest.retain(|_, refused| now.since(refused.changed) < REFUSAL_RETENTION);
     }
 
-    /// What brokers are told of a request.
+    /// The finding that brokers receive for a refused request.
     pub fn finding(&self, now: WallTime, digest: RequestDigest) -> Option<CrashFinding> {
         let refused = self.by_digest.get(&digest)?;
         let left =
@@ -103,8 +103,8 @@
         })
     }
 
-    /// Drops the request that was heard of longest ago where there is no room for one more.
-    fn make_room(&mut self, digest: RequestDigest) {
+    /// Evicts the least recently changed request when the limit is reached.
+    fn evict_for(&mut self, digest: RequestDigest) {
         if self.by_digest.len() < REFUSED_LIMIT || self.by_digest.contains_key(&digest) {
             return;
         }
@@ -116,7 +116,7 @@
 }
 
 impl RefusedRequest {
-    fn wait_for_trial(&mut self, now: WallTime, span: Duration) {
+    fn schedule_trial(&mut self, now: WallTime, span: Duration) {
         self.changed = now;
         self.next_trial = (self.trials < TRIAL_LIMIT).then_some(now.after(span));
     }
--- a/crates/domain/src/cluster/rollouts.rs
+++ b/crates/domain/src/cluster/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs in the replicated state: what brokers reported, and what follows from it.
+//! Roll-outs in the replicated state: evidence from brokers and the transitions it causes.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
     Evidence, Rollout, RolloutAdvance, RolloutReport, RolloutStage, Verdict, judge,
 };
 
-/// Session under which control processes change the catalog by themselves.
-const OWN_SESSION: &str = "control";
+/// Session name of catalog changes made by the control processes themselves.
+const CONTROL_SESSION: &str = "control";
 
-/// What brokers reported of the newest roll-out of each service. It is kept after the end of a roll-out, so that
-/// operators can see what decided it.
+/// Evidence that brokers reported on the newest roll-out of each service. It is kept after the
+/// roll-out ends, so that operators can see what decided it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutEvidence {
     by_service: BTreeMap<ServiceName, (Revision, Evidence)>,
 }
 
 impl RolloutEvidence {
-    /// What was reported of a roll-out; none where nothing was.
+    /// Evidence reported on a roll-out, if any.
     pub fn of(&self, rollout: &Rollout) -> Option<&Evidence> {
         let (begun, evidence) = self.by_service.get(&rollout.order.service)?;
         (*begun == rollout.begun).then_some(evidence)
@@ -40,8 +40,8 @@
 }
 
 impl ClusterState {
-    /// Takes reports over; a version that they show to be bad is taken back at once. Gives the roll-outs that went on
-    /// to another stage.
+    /// Records evidence and rolls a version back as soon as the evidence shows it to be bad.
+    /// Returns the roll-outs that advanced to another stage.
     pub(super) fn report_rollouts(
         &mut self,
         at: WallTime,
@@ -67,7 +67,7 @@
         rollout.is_some_and(|newest| newest.begun == report.begun && newest.stage.is_under_way())
     }
 
-    /// A roll-out goes on, unless it has gone on already.
+    /// Advances a roll-out; `None` when the catalog rejects the step, as when it was already made.
     pub(super) fn advance_rollout(
         &mut self,
         at: WallTime,
@@ -75,7 +75,7 @@
     ) -> Option<RolloutAdvance> {
         let change = Change::AdvanceRollout(step.clone());
         let revision = self.catalog.apply(&change).ok()?;
-        let session = SessionName::new(OWN_SESSION);
+        let session = SessionName::new(CONTROL_SESSION);
         self.history.push(AcceptedChange { revision, at, session, change });
         Some(step.clone())
     }
--- a/crates/domain/src/cluster/sessions.rs
+++ b/crates/domain/src/cluster/sessions.rs
@@ -1,4 +1,4 @@
-//! Operators' sessions: the outcome of every command, so that a resend changes nothing.
+//! Operator sessions: recorded outcomes that make resent commands idempotent.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use super::{ChangeOutcome, ChangeRefusal, ChangeRequest, CommandId, WallTime};
 use crate::identifiers::SessionName;
 
-/// Outcomes that are kept for each session; older commands are refused when they are resent.
+/// Maximum outcomes kept per session; resends of older commands are refused.
 pub const OUTCOMES_PER_SESSION: usize = 64;
-/// Sessions that are kept; a further one is refused until an idle one expires.
+/// Maximum sessions kept; a further one is refused until an idle session expires.
 pub const SESSION_LIMIT: usize = 16_384;
-/// How long an idle session is kept. A resend that comes later counts as a new command.
+/// Time for which an idle session is kept; a later resend counts as a new command.
 pub const SESSION_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,21 +28,21 @@
     outcomes: BTreeMap<u64, Recorded>,
 }
 
-/// All sessions.
+/// Recorded outcomes of all operator sessions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sessions {
     sessions: BTreeMap<SessionName, Session>,
-    /// Names by the time of their last command, for expiry.
+    /// Sessions ordered by the time of their last command, for expiry.
     idle: BTreeSet<(WallTime, SessionName)>,
 }
 
 impl Sessions {
-    /// Sessions that are kept.
+    /// Number of sessions kept.
     pub fn count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// The outcome that was recorded under the identity of `request`.
+    /// Recorded outcome of `request`, or a refusal if its id was used for a different command.
     pub fn recorded(&self, request: &ChangeRequest) -> Option<ChangeOutcome> {
         let session = self.sessions.get(&request.id.session)?;
         let recorded = session.outcomes.get(&request.id.sequence)?;
@@ -52,10 +52,10 @@
         Some(ChangeOutcome::Refused(ChangeRefusal::SequenceReused(request.id.clone())))
     }
 
-    /// Checks that a command which is not recorded may be carried out.
+    /// Checks whether a command without a recorded outcome may be executed.
     ///
     /// # Errors
-    /// [`ChangeRefusal::SequenceForgotten`] when a newer command was carried out, and
+    /// [`ChangeRefusal::SequenceForgotten`] when a newer command was executed, and
     /// [`ChangeRefusal::TooManySessions`] when no session can be added.
     pub fn admit(&self, id: &CommandId) -> Result<(), ChangeRefusal> {
         match self.sessions.get(&id.session) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Records the outcome of a command that was carried out.
+    /// Records the outcome of an executed command.
     pub fn record(&mut self, now: WallTime, request: &ChangeRequest, outcome: &ChangeOutcome) {
         let name = &request.id.session;
         let session = self.sessions.entry(name.clone()).or_default();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Drops sessions that were idle for [`SESSION_RETENTION`].
+    /// Drops sessions idle for [`SESSION_RETENTION`].
     pub fn expire(&mut self, now: WallTime) {
         while let Some((last_used, _)) = self.idle.first() {
             if now.since(*last_used) < SESSION_RETENTION {
--- a/crates/domain/src/cluster/thresholds.rs
+++ b/crates/domain/src/cluster/thresholds.rs
@@ -1,4 +1,4 @@
-//! Overload thresholds: the lowest class that the brokers of a service admit.
+//! Load-shedding thresholds: the lowest class that the brokers of a service admit.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use super::WallTime;
 use crate::identifiers::ServiceName;
 
-/// The lowest class that is admitted.
+/// Load-shedding threshold of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Threshold {
-    /// Priority of that class; classes of a greater number are refused as not run.
+    /// Priority of the lowest admitted class; classes with a greater number are refused unexecuted.
     pub lowest_admitted: u8,
-    /// When it ends by itself, so that a threshold nobody renews refuses no work for ever.
+    /// Expiry time, so that a threshold that is no longer renewed does not refuse work for ever.
     pub until: WallTime,
 }
 
-/// Thresholds of all services.
+/// Load-shedding thresholds by service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Thresholds {
     services: BTreeMap<ServiceName, Threshold>,
@@ -24,17 +24,17 @@
 }
 
 impl Thresholds {
-    /// Grows with each change, so that feeds see that there is one.
+    /// Version that increases with each change, by which feeds detect changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The threshold of a service; none admits every class.
+    /// Threshold of a service; `None` admits every class.
     pub fn of(&self, service: &ServiceName) -> Option<Threshold> {
         self.services.get(service).copied()
     }
 
-    /// All services that have one.
+    /// Thresholds of all services that have one.
     pub fn services(&self) -> &BTreeMap<ServiceName, Threshold> {
         &self.services
     }
