--- a/crates/domain/tests/consensus/checker.rs
+++ b/crates/domain/tests/consensus/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold at all times, told apart from how the core works.
+//! Safety invariants, checked independently of the implementation.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     previous: Option<Term>,
 }
 
-/// Watches all members; keeps the first violation.
+/// Observes all members and records the first violation.
 #[derive(Default)]
 pub struct Checker {
     leaders: BTreeMap<Term, MemberId>,
--- a/crates/domain/tests/consensus/lab.rs
+++ b/crates/domain/tests/consensus/lab.rs
@@ -1,4 +1,4 @@
-//! Members driven by hand: each message is delivered or dropped by the test.
+//! Test harness in which the test delivers or drops each message.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use gingerkeel_domain::time::Timestamp;
 use rand_pcg::Pcg64;
 
-/// Rounds of messages and answers after which something is wrong.
+/// Maximum rounds of message delivery before a test fails.
 const ROUND_LIMIT: usize = 1_000;
 
 pub fn member(node: u32) -> MemberId {
@@ -22,7 +22,7 @@
     Configuration::of_voters((1..=count).map(member))
 }
 
-/// One entry to an append request, so that tests can part them.
+/// Settings with one entry per append request, so that tests can deliver entries one by one.
 pub fn settings() -> ConsensusSettings {
     ConsensusSettings { append_bytes: 1, trailing_entries: 0, ..ConsensusSettings::default() }
 }
@@ -88,7 +88,7 @@
         self.now = self.now.after(Duration::from_millis(millis));
     }
 
-    /// Does what the member's core asks for; its messages become pending.
+    /// Executes the pending work of a member; its messages become pending.
     pub fn flush(&mut self, identity: MemberId) {
         let now = self.now;
         let Some(lab_node) = self.nodes.get_mut(&identity) else {
--- a/crates/domain/tests/consensus/main.rs
+++ b/crates/domain/tests/consensus/main.rs
@@ -1,5 +1,5 @@
-//! The rules of the replicated log: a table per rule, a cluster on a virtual network over many
-//! seeds, and for each safety rule a mutant that breaks the proof.
+//! Tests of the consensus core: a table per rule, a simulated cluster over many seeds, and for each
+//! safety rule a mutant that the tests must detect.
 
 mod checker;
 mod cluster;
--- a/crates/domain/tests/consensus/mutants.rs
+++ b/crates/domain/tests/consensus/mutants.rs
@@ -1,4 +1,4 @@
-//! For each safety rule an adapter that breaks it, and the proof that then fails.
+//! Mutation tests: each breaks one safety rule, which the checks must detect.
 //!
 //! The commit rule for entries of earlier terms has its mutant in `commitment`.
 
@@ -10,7 +10,7 @@
 use crate::cluster::{Cluster, Mutant};
 use crate::lab::{Lab, member, voters};
 
-/// Seeds among which one has to find the fault.
+/// Number of seeds, at least one of which must detect the mutant.
 const SEEDS: u64 = 400;
 
 #[rstest]
@@ -26,8 +26,8 @@
     println!("{mutant:?}: seed {seed}: {violation}");
 }
 
-/// A member that was cut off asks for votes and comes back; gives the leader's term before and
-/// after. Without the pre-vote, the others say yes to whatever it asks about.
+/// Partitions a member, which campaigns and then reconnects; returns the leader's term before and
+/// after. Without pre-vote, every pre-vote request is granted.
 fn return_of_a_member(pre_vote: bool) -> (Term, Term) {
     let mut lab = Lab::new(3);
     lab.settle(1, &[1, 2, 3]);
@@ -62,8 +62,8 @@
     assert!(after > before);
 }
 
-/// Whether a leader that reaches nobody is in office after two election timeouts. Without the
-/// check of the quorum, it takes silence for answers.
+/// Role of a partitioned leader after two election timeouts. Without the quorum check, responses
+/// are forged.
 fn office_of_a_leader_cut_off(check_quorum: bool) -> RoleName {
     let mut lab = Lab::new(3);
     lab.settle(1, &[1, 2, 3]);
@@ -89,7 +89,7 @@
     assert_eq!(office_of_a_leader_cut_off(false), RoleName::Leader);
 }
 
-/// Two members ask for votes in one term, and the third restarts between the requests; gives how
+/// Two members request votes in one term, and the third restarts between the requests; returns how
 /// many of the two are elected.
 fn leaders_of_one_term(vote_kept: bool) -> usize {
     let mut lab = Lab::new(3);
--- a/crates/domain/tests/overload_threshold.rs
+++ b/crates/domain/tests/overload_threshold.rs
@@ -1,4 +1,4 @@
-//! Overload of brokers folded into a threshold, one table for each rule.
+//! Aggregation of overload reports into a load-shedding threshold, one table for each rule.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     ServiceName::new("console")
 }
 
-/// A report of classes 0, 1, 2 ..., each of 100 queries, of which so many were refused.
+/// A report of classes 0, 1, 2 and so on, each with 100 queries and this number of refusals.
 fn report(running: u32, lowest_admitted: u8, refused: &[u64]) -> OverloadReport {
     let class = |(priority, refused): (u8, &u64)| ClassPressure {
         priority,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Folds reports second by second.
+/// Feeds reports to the aggregator under a manual clock.
 struct Harness {
     fold: OverloadAggregator,
     settings: OverloadSettings,
@@ -86,7 +86,7 @@
     let mut harness = Harness::new(OverloadSettings::default());
     harness.report("b1", report(CONCURRENCY, ADMIT_ALL, &[0, 30, 100]));
     assert_eq!(harness.report("b2", report(CONCURRENCY, ADMIT_ALL, &[0, 0, 100])), 1);
-    // A class that is shut out is refused by order, and presses no more.
+    // A class below the threshold is refused on purpose and no longer counts as overloaded.
     assert_eq!(harness.report("b1", report(CONCURRENCY, 1, &[0, 30, 100])), 1);
     assert_eq!(harness.report("b2", report(CONCURRENCY, 1, &[10, 30, 100])), 0);
 }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Changes of the threshold in a minute in which a class presses every fourth second.
+/// Number of threshold changes in a minute in which a class is overloaded every fourth second.
 fn changes_under_a_load_that_swings(settings: OverloadSettings) -> u64 {
     let mut harness = Harness::new(settings);
     for second in 0..60 {
--- a/crates/domain/tests/polling.rs
+++ b/crates/domain/tests/polling.rs
@@ -1,4 +1,4 @@
-//! Leaves are shared out among control processes.
+//! Assignment of leaves to the control processes that poll them.
 
 use std::collections::BTreeMap;
 
--- a/crates/domain/tests/refused_requests.rs
+++ b/crates/domain/tests/refused_requests.rs
@@ -1,4 +1,4 @@
-//! How often a request that crashes leaves reaches any, over all brokers.
+//! Limits on how often a crashing request reaches leaves, over all brokers.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +16,13 @@
 
 const CRASHING: RequestDigest = RequestDigest(1);
 const ROUTE: &str = "all";
-/// Milliseconds from a broker to all others by way of the log.
+/// Delay from one broker to all others through the log, in milliseconds.
 const NEWS_MS: u64 = 150;
 const SECOND_MS: u64 = 1_000;
-/// Milliseconds from one command to the next.
+/// Maximum interval between commands, in milliseconds.
 const STEP_MS: u64 = 9 * SECOND_MS;
 const HOUR_MS: u64 = 3_600 * SECOND_MS;
-/// A request may come to leaves so often after it has ended three, as users demand it.
+/// Required limit on how often a request may reach leaves after it has crashed three.
 const MOST_AFTER_THREE: usize = 3;
 
 fn refusal(for_ms: u32) -> CrashFinding {
@@ -30,7 +30,7 @@
     CrashFinding { digest: CRASHING, route, leaves: 3, verdict: Verdict::Refused, for_ms }
 }
 
-/// The replicated state, which commands come to in order.
+/// The replicated state with its log position.
 #[derive(Default)]
 struct Log {
     state: ClusterState,
@@ -39,7 +39,7 @@
 }
 
 impl Log {
-    /// Applies a command. Others come in between, so that the replicated time goes on.
+    /// Applies a command, after filler commands that let the replicated time keep up.
     fn apply(&mut self, now: u64, body: CommandBody) -> CommandOutcome {
         for at in (self.last..now).step_by(STEP_MS as usize) {
             self.add(at, CommandBody::ReportCrashes(Vec::new()));
@@ -81,7 +81,7 @@
     assert!(!log.grant(29_999, refusal(0)));
     assert!(log.grant(30_000, refusal(0)));
     assert!(!log.grant(30_001, refusal(0)), "one at a time");
-    // A leaf ended under the first, and its broker proves it once more.
+    // The first trial crashed a leaf, and its broker reports the proof again.
     log.apply(30_100, CommandBody::ReportCrashes(vec![refusal(60_000)]));
     assert!(!log.grant(90_099, refusal(0)));
     assert!(log.grant(90_100, refusal(0)));
@@ -141,13 +141,13 @@
     assert!(log.state.refused_requests().get(RequestDigest(599)).is_some());
 }
 
-/// Brokers to which the same request comes, and what is on its way to them.
+/// Brokers that receive the same request, and the findings in transit to them.
 struct Fleet {
     brokers: Vec<CrashSuspects>,
     log: Log,
-    /// What the log has by then, for all brokers.
+    /// Finding in the log by the time at which it reaches all brokers.
     news: BTreeMap<u64, Option<CrashFinding>>,
-    /// When the request came to a leaf that ended under it.
+    /// Times at which the request crashed a leaf.
     ends: Vec<u64>,
 }
 
@@ -170,7 +170,7 @@
         }
     }
 
-    /// All brokers lose what they hold, and are told what the log has before they serve.
+    /// Restarts all brokers; they receive the finding in the log before they serve.
     fn restart_all(&mut self, now: u64) {
         let all: Vec<CrashFinding> = self.log.finding().into_iter().collect();
         for broker in &mut self.brokers {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The request comes to a broker.
+    /// Sends the request to a broker.
     fn request(&mut self, now: u64, broker: usize) {
         self.hear(now);
         match self.brokers[broker].treatment(at(now), ROUTE, CRASHING) {
@@ -192,7 +192,7 @@
                 self.tell_all(now);
             }
             Treatment::Suspected => self.end_leaf(now, broker, true),
-            // Two canaries, and then one leaf alone.
+            // Two canaries crash first, then a leaf that runs only this request.
             Treatment::Usual | Treatment::Canary => {
                 self.end_leaf(now, broker, false);
                 self.end_leaf(now, broker, false);
@@ -218,7 +218,8 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-/// The request comes four times a second, at one broker after the other, for ten hours; all brokers restart now and then.
+/// The request arrives four times a second for ten hours, at each broker in turn; in some cases all
+/// brokers restart periodically.
 #[rstest]
 #[case::a_small_fleet(9, None)]
 #[case::restarts(9, Some(20 * 60 * SECOND_MS))]
--- a/crates/domain/tests/support/cluster.rs
+++ b/crates/domain/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! The replicated state with a log position and a clock of its own.
+//! Test harness around the replicated state.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 pub const START: WallTime = WallTime(1_700_000_000_000);
 
-/// A state with a log position and a clock of its own.
+/// A replicated state with its own log position and clock.
 pub struct Cluster {
     pub state: ClusterState,
     pub index: u64,
@@ -40,7 +40,7 @@
         self.request(request(session, sequence, None, change))
     }
 
-    /// Lets time pass in steps that the replicated clock follows.
+    /// Advances the clock in steps small enough for the replicated time to keep up.
     pub fn pass(&mut self, span: Duration) {
         let end = self.now.after(span);
         while self.now < end {
--- a/crates/domain/tests/zone_orders.rs
+++ b/crates/domain/tests/zone_orders.rs
@@ -1,4 +1,4 @@
-//! Orders that evacuate a zone and restore it, in the replicated state.
+//! Zone evacuation and restoration in the replicated state.
 
 mod support;
 
@@ -16,7 +16,8 @@
     Change::RestoreZone(ZoneName::new("palermo"))
 }
 
-/// Orders about one zone, each made against a revision, and whether the zone is evacuated in the end.
+/// Orders on one zone, each with its base revision and whether it is accepted, and whether the zone
+/// ends up evacuated.
 #[rstest]
 #[case::once(&[(evacuate(), 0, true)], true)]
 #[case::the_same_twice(&[(evacuate(), 0, true), (evacuate(), 1, true)], true)]
