--- a/crates/domain/src/forwarding/mod.rs
+++ b/crates/domain/src/forwarding/mod.rs
@@ -1,4 +1,4 @@
-//! Forwarding of a request to leaves: whom to ask, how often, and what to answer.
+//! Request forwarding: leaf selection, retries and hedges, admission, and merging of answers.
 
 mod admission_queue;
 mod attempts;
@@ -12,13 +12,13 @@
 mod extra_load;
 mod gathering;
 mod greatest;
+mod liveness;
 mod load_report;
 mod misdirected;
 mod overload;
 mod planned_stop;
 mod replica;
 mod replica_set;
-mod signs_of_life;
 mod split;
 mod tenant_shares;
 
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -1,57 +1,58 @@
-//! The leaves of one service as one broker sees them, and the choice of one.
+//! The leaves of one service as one broker sees them, and the selection of a leaf for an attempt.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::eligibility::{Exclusion, Exclusions, NoLeafReason};
+use super::liveness::LivenessStep;
 use super::load_report::LoadReport;
 use super::replica::{Distance, Outcome, Replica};
-use super::signs_of_life::LifeStep;
 use crate::directory::ListedLeaf;
 use crate::identifiers::LeafIdentity;
 use crate::leaf_warnings::WarningCause;
 use crate::time::Timestamp;
 
-/// Share by which costs are varied at random, so that brokers do not all choose alike.
+/// Relative random variation of costs, so that brokers do not all choose the same leaf.
 const COST_VARIATION: f64 = 0.1;
-/// Weight of one answer in the ordinary latency of a service.
-const ORDINARY_SMOOTHING: f64 = 0.05;
-/// Most that one answer counts, in ordinary latencies: a few slow leaves do not make it ordinary.
-const LARGEST_SAMPLE: f64 = 3.0;
+/// Weight of one answer in the baseline latency of a service.
+const BASELINE_SMOOTHING: f64 = 0.05;
+/// Upper bound of a sample, as a multiple of the baseline latency: a few slow leaves do not raise
+/// the baseline.
+const MAX_SAMPLE_RATIO: f64 = 3.0;
 
-/// Time for which an answer of a leaf speaks against the word of others that it refuses requests.
-const OWN_WORD: Duration = Duration::from_millis(500);
+/// Time for which a leaf's answer to this broker overrides other brokers' warning that it refuses
+/// requests.
+const OWN_ANSWER_PRECEDENCE: Duration = Duration::from_millis(500);
 
-/// Time after the end of a leaf from which on another one may have its address, where settings say
-/// nothing else: platforms that hand addresses out anew do so after seconds.
+/// Default of `address_reuse`: platforms that reassign addresses do so after seconds.
 const DEFAULT_ADDRESS_REUSE: Duration = Duration::from_secs(2);
-/// The same of how long the list names a leaf that has ended: twice the five seconds that were seen.
+/// Default of `list_lag`: twice the five seconds observed.
 const DEFAULT_LIST_LAG: Duration = Duration::from_secs(10);
 
-/// Bounds of the choice.
+/// Parameters of leaf selection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaSettings {
-    /// Latency that is assumed of a service of which nothing is known.
+    /// Latency assumed for a service before its first answer.
     pub baseline_latency: Duration,
-    /// Time after which an observation counts little.
+    /// Time constant by which an observed latency decays to the baseline.
     pub observation_decay: Duration,
-    /// What another zone of the region costs.
+    /// Cost of a leaf in another zone of the region.
     pub region_cost: Duration,
-    /// What another region costs.
+    /// Cost of a leaf in another region.
     pub far_cost: Duration,
-    /// What a new connection costs in the own zone, and to another region.
+    /// Cost of opening a connection within the region, and to another region.
     pub connect_cost: [Duration; 2],
-    /// How much occupied slots count.
+    /// Weight of the share of occupied slots in the expected cost.
     pub in_flight_weight: f64,
-    /// Time for which a failing leaf is left out at first.
+    /// Initial ejection time of a failing leaf.
     pub ejection: Duration,
-    /// Time for which a leaf that owes an answer is asked last, at first.
+    /// Initial time for which a leaf with a late attempt is deprioritized.
     pub suspicion: Duration,
-    /// Time for which a leaf that refused work is asked last.
+    /// Time for which a leaf that refused work is deprioritized.
     pub rejection_pause: Duration,
-    /// Time after the end of a leaf from which on another one may have its address.
+    /// Time after the end of a leaf from which another leaf may have its address.
     pub address_reuse: Duration,
-    /// Longest time for which the list goes on naming a leaf that has ended.
+    /// Longest time for which the directory keeps naming an ended leaf.
     pub list_lag: Duration,
 }
 
@@ -91,96 +92,96 @@
     }
 }
 
-/// How good a choice is.
+/// Preference class of a leaf; costs are compared only within a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Tier {
-    Sound,
+    Healthy,
     Suspect,
 }
 
-/// What a request to a leaf would be sent over.
+/// Availability of a connection to a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Connectivity {
-    /// A connection that lies ready.
+    /// An idle connection is available.
     Idle,
-    /// A connection that is still to be opened.
+    /// A new connection may be opened.
     Openable,
-    /// Nothing: this broker uses all connections to the leaf that it may open.
+    /// All connections that this broker may open to the leaf are in use.
     Exhausted,
 }
 
-/// A chosen leaf.
+/// A selected leaf.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
-    /// The leaf.
+    /// Identity of the leaf.
     pub leaf: LeafIdentity,
-    /// Whether it answered as expected lately, as far as is known.
+    /// Whether the leaf is not under suspicion.
     pub sound: bool,
 }
 
-/// What to do with a request.
+/// Result of the selection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Selection {
-    /// Ask this leaf.
+    /// Send the request to this leaf.
     Ask(Choice),
-    /// Wait for a connection: a leaf to which none can be had now is better than all others.
+    /// Wait for a connection: the best leaf has none available now.
     Wait {
-        /// The leaf to ask where there is no time to wait.
+        /// Fallback leaf when there is no time to wait.
         otherwise: Option<Choice>,
     },
-    /// No leaf can be asked.
+    /// No leaf is eligible.
     NoLeaf(NoLeafReason),
 }
 
-/// A leaf with what speaks for it, the less the better.
+/// A leaf with its preference class and cost; the least is selected.
 type Candidate<'set> = (Tier, f64, &'set LeafIdentity);
 
-/// Leaves that have missed, by what to do about them.
+/// Unresponsive leaves, by the action they need.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct UnresponsiveLeaves {
-    /// A connection is to be opened to each, to learn whether it is there.
+    /// Leaves to which a probe connection is to be opened.
     pub to_check: Vec<LeafIdentity>,
-    /// They are presumed to have ended from now on.
+    /// Leaves that are presumed to have ended from now on.
     pub presumed_ended: Vec<LeafIdentity>,
 }
 
-/// The leaves of one service.
+/// The leaves of one service with their observed state.
 #[derive(Debug, Default)]
 pub struct ReplicaSet {
     replicas: BTreeMap<LeafIdentity, Replica>,
-    /// Those of them that have missed and may have given no sign of life since.
-    missing: BTreeSet<LeafIdentity>,
-    /// What an answer of this service ordinarily takes, in seconds; none before the first.
-    ordinary: Option<f64>,
+    /// Leaves with a late or failed attempt, and possibly no sign of life since.
+    unresponsive: BTreeSet<LeafIdentity>,
+    /// Smoothed latency of the answers of this service in seconds, `None` before the first one.
+    baseline: Option<f64>,
 }
 
 impl ReplicaSet {
-    /// Takes over what the directory says of a leaf; gives whether it is new.
+    /// Applies a directory entry; returns whether the leaf is new.
     pub fn list(&mut self, now: Timestamp, leaf: &ListedLeaf, distance: Distance) -> bool {
         let known = self.replicas.len();
         let replica = self.replicas.entry(leaf.identity.clone());
-        replica.or_insert_with(|| Replica::new(now, leaf, distance)).list(now, leaf, distance);
+        replica.or_insert_with(|| Replica::new(now, leaf, distance)).update(now, leaf, distance);
         self.replicas.len() > known
     }
 
-    /// Forgets the leaves that `keep` does not name.
+    /// Removes the leaves for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&LeafIdentity) -> bool) {
         self.replicas.retain(|identity, _| keep(identity));
     }
 
-    /// The leaves that are known.
+    /// Identities of the known leaves.
     pub fn identities(&self) -> impl Iterator<Item = &LeafIdentity> {
         self.replicas.keys()
     }
 
-    /// Whether a leaf is there, as far as is known, and not left out for its failures.
+    /// Whether a leaf is known, not leaving, not presumed ended and not ejected.
     pub fn is_in_service(
         &self,
         leaf: &LeafIdentity,
         now: Timestamp,
         settings: &ReplicaSettings,
     ) -> bool {
-        self.replicas.get(leaf).is_some_and(|replica| replica.is_there(now, settings))
+        self.replicas.get(leaf).is_some_and(|replica| replica.is_in_service(now, settings))
     }
 
     /// Whether no leaf is known.
@@ -188,8 +189,8 @@
         self.replicas.is_empty()
     }
 
-    /// Chooses a leaf other than those of `tried`. `reach` tells by what a leaf is reached, or why
-    /// the request may not go there; `variation` gives numbers from 0 to 1.
+    /// Selects a leaf that is not in `tried`. `reach` gives the availability of a connection or the
+    /// reason why the request may not go to a leaf; `variation` gives random numbers from 0 to 1.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -198,24 +199,26 @@
         reach: impl Fn(&LeafIdentity) -> Result<Connectivity, Exclusion>,
         mut variation: impl FnMut() -> f64,
     ) -> Selection {
-        let ordinary = self.ordinary(settings);
+        let baseline = self.baseline(settings);
         let (mut best, mut exhausted): (Option<Candidate>, Option<Candidate>) = (None, None);
-        let mut left_out = Exclusions::default();
-        // Where all leaves of a service seem to have ended, the cause may be this broker's own link.
-        let any_there = self.replicas.values().any(|replica| replica.is_there(now, settings));
+        let mut exclusions = Exclusions::default();
+        // When all leaves of a service seem to have ended, the cause may be this broker's own
+        // network link, so that none is excluded for it.
+        let any_in_service =
+            self.replicas.values().any(|replica| replica.is_in_service(now, settings));
         for (identity, replica) in &self.replicas {
-            let presumed_ended = any_there && replica.is_presumed_ended(now, settings);
+            let presumed_ended = any_in_service && replica.is_presumed_ended(now, settings);
             let eligible = eligible(identity, replica, now, presumed_ended, tried, &reach);
             let connectivity = match eligible {
                 Ok(connectivity) => connectivity,
                 Err(reason) => {
-                    left_out.add(reason);
+                    exclusions.add(reason);
                     continue;
                 }
             };
             let tier = tier(replica, now);
-            let cost = replica.expected_cost(now, settings, ordinary)
-                + replica.connection_cost(settings, ordinary, connectivity);
+            let cost = replica.expected_cost(now, settings, baseline)
+                + replica.connection_cost(settings, baseline, connectivity);
             let candidate = (tier, cost * (1.0 + COST_VARIATION * variation()), identity);
             match connectivity {
                 Connectivity::Exhausted => keep_better(&mut exhausted, candidate),
@@ -223,7 +226,7 @@
             }
         }
         match (best, exhausted) {
-            (None, None) => Selection::NoLeaf(left_out.reason()),
+            (None, None) => Selection::NoLeaf(exclusions.reason()),
             (Some(best), None) => Selection::Ask(Choice::from(best)),
             (Some(best), Some(exhausted)) if !is_better(exhausted, best) => {
                 Selection::Ask(Choice::from(best))
@@ -232,14 +235,14 @@
         }
     }
 
-    /// An attempt at a leaf begins.
+    /// Records the start of an attempt.
     pub fn begin(&mut self, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.in_flight += 1;
         }
     }
 
-    /// Somebody took a connection at a leaf's address.
+    /// Records that a connection to a leaf's address was accepted.
     pub fn record_connection_accepted(
         &mut self,
         now: Timestamp,
@@ -247,18 +250,18 @@
         leaf: &LeafIdentity,
     ) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
-            replica.life.took_connection(now, settings);
+            replica.liveness.record_connection_accepted(now, settings);
         }
     }
 
-    /// Nobody listens at a leaf's address.
+    /// Records that a leaf's address refused a connection.
     pub fn record_connection_refused(&mut self, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
-            replica.life.refused_connection();
+            replica.liveness.record_connection_refused();
         }
     }
 
-    /// What to do about the leaves that have missed.
+    /// Returns the unresponsive leaves that need a probe or are newly presumed to have ended.
     pub fn check_unresponsive(
         &mut self,
         now: Timestamp,
@@ -266,38 +269,40 @@
     ) -> UnresponsiveLeaves {
         let mut found = UnresponsiveLeaves::default();
         let replicas = &mut self.replicas;
-        self.missing.retain(|leaf| {
+        self.unresponsive.retain(|leaf| {
             let replica = replicas.get_mut(leaf).filter(|replica| !replica.is_address_taken());
-            let step = replica.map_or(LifeStep::Settled, |known| known.life.step(now, settings));
+            let step =
+                replica.map_or(LivenessStep::Settled, |known| known.liveness.step(now, settings));
             match step {
-                LifeStep::Check => found.to_check.push(leaf.clone()),
-                LifeStep::PresumedEnded => found.presumed_ended.push(leaf.clone()),
-                LifeStep::Settled | LifeStep::Wait => {}
+                LivenessStep::Probe => found.to_check.push(leaf.clone()),
+                LivenessStep::PresumedEnded => found.presumed_ended.push(leaf.clone()),
+                LivenessStep::Settled | LivenessStep::Wait => {}
             }
-            step != LifeStep::Settled
+            step != LivenessStep::Settled
         });
         found
     }
 
-    /// An attempt has waited longer than expected.
+    /// Records that an attempt has exceeded its expected latency.
     pub fn mark_late(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.mark_late(now, settings);
-            self.missing.insert(leaf.clone());
+            self.unresponsive.insert(leaf.clone());
         }
     }
 
-    /// An attempt got no answer in the whole time that it had.
+    /// Records that an attempt got no answer within its deadline.
     pub fn mark_silent(&mut self, now: Timestamp, settings: &ReplicaSettings, leaf: &LeafIdentity) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.mark_silent(now, settings);
-            self.missing.insert(leaf.clone());
+            self.unresponsive.insert(leaf.clone());
         }
     }
 
-    /// Many brokers find a leaf slow, failing or refusing: it is asked last until then. An ordinary answer to this
-    /// broker shows that it is not slow any more. One that has just answered this broker is not taken for refusing:
-    /// where a broker asks a leaf that often, its own word is the better one, and others would all turn away at once.
+    /// Deprioritizes a leaf until `until` because other brokers find it slow, failing or refusing.
+    /// An answer at normal latency to this broker ends a warning of slowness. A leaf that has just
+    /// answered this broker is not taken for refusing: a broker that asks a leaf that often has
+    /// better evidence of its own, and all brokers would turn away from the leaf at once.
     pub fn warn(
         &mut self,
         now: Timestamp,
@@ -312,26 +317,26 @@
             WarningCause::Slow => replica.slow_until = until,
             WarningCause::Failing => replica.failing_until = until,
             WarningCause::Refusing => {
-                if !replica.has_answered_within(OWN_WORD, now) {
+                if !replica.has_answered_within(OWN_ANSWER_PRECEDENCE, now) {
                     replica.failing_until = replica.failing_until.max(until);
                 }
             }
         }
     }
 
-    /// A leaf said on an answer how loaded it is.
+    /// Records the load that a leaf reported with an answer.
     pub fn record_load(&mut self, now: Timestamp, leaf: &LeafIdentity, report: LoadReport) {
         if let Some(replica) = self.replicas.get_mut(leaf) {
             replica.load.observe(now, report);
         }
     }
 
-    /// The load that a leaf reported lately.
+    /// The latest load report of a leaf, while it is current.
     pub fn load(&self, now: Timestamp, leaf: &LeafIdentity) -> Option<LoadReport> {
         self.replicas.get(leaf)?.load.current(now)
     }
 
-    /// An attempt at a leaf has ended.
+    /// Records the outcome of an attempt.
     pub fn finish(
         &mut self,
         now: Timestamp,
@@ -339,27 +344,27 @@
         leaf: &LeafIdentity,
         outcome: Outcome,
     ) {
-        let ordinary = self.ordinary(settings);
+        let baseline = self.baseline(settings);
         if let Outcome::Answered(latency) = outcome {
-            let sample = latency.as_secs_f64().min(ordinary * LARGEST_SAMPLE);
-            self.ordinary = Some(ordinary + ORDINARY_SMOOTHING * (sample - ordinary));
+            let sample = latency.as_secs_f64().min(baseline * MAX_SAMPLE_RATIO);
+            self.baseline = Some(baseline + BASELINE_SMOOTHING * (sample - baseline));
         }
         if let Some(replica) = self.replicas.get_mut(leaf) {
-            replica.finish(now, settings, ordinary, outcome);
+            replica.finish(now, settings, baseline, outcome);
             if matches!(outcome, Outcome::Failed | Outcome::ConnectionRefused) {
-                self.missing.insert(leaf.clone());
+                self.unresponsive.insert(leaf.clone());
             }
         }
     }
 
-    fn ordinary(&self, settings: &ReplicaSettings) -> f64 {
-        self.ordinary.unwrap_or(settings.baseline_latency.as_secs_f64())
+    fn baseline(&self, settings: &ReplicaSettings) -> f64 {
+        self.baseline.unwrap_or(settings.baseline_latency.as_secs_f64())
     }
 }
 
 impl From<Candidate<'_>> for Choice {
     fn from((tier, _, leaf): Candidate<'_>) -> Self {
-        Self { leaf: leaf.clone(), sound: tier == Tier::Sound }
+        Self { leaf: leaf.clone(), sound: tier == Tier::Healthy }
     }
 }
 
@@ -373,7 +378,7 @@
     }
 }
 
-/// By what a leaf is reached, or why it may not be asked.
+/// Checks whether a leaf may be asked; returns the availability of its connection.
 fn eligible(
     identity: &LeafIdentity,
     replica: &Replica,
@@ -402,5 +407,5 @@
 }
 
 fn tier(replica: &Replica, now: Timestamp) -> Tier {
-    if replica.is_suspect(now) { Tier::Suspect } else { Tier::Sound }
+    if replica.is_suspect(now) { Tier::Suspect } else { Tier::Healthy }
 }
