--- a/crates/domain/src/forwarding/admission_queue.rs
+++ b/crates/domain/src/forwarding/admission_queue.rs
@@ -1,9 +1,9 @@
-//! The order in which requests that wait for admission are served.
+//! Queue of requests that wait for admission.
 //!
-//! Higher priority goes first. Among equals, those that can still be answered in time go before those
-//! that cannot, tenants that ask for no more than their share before the others, and then the newest
-//! first: while more come than can be served, the oldest first would make all of them late. Late ones get
-//! what is left over, the oldest first.
+//! Higher priority goes first. Within a priority, requests that can still be answered in time go
+//! before late ones, tenants within their share before the others, and then the newest first: under
+//! overload, oldest-first order would make all of them late. Late requests get what capacity is
+//! left over, the oldest first.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,27 +11,27 @@
 use super::tenant_shares::{SharingTenant, TenantShares};
 use crate::time::Timestamp;
 
-/// Number of a request that waits.
+/// Identifies a queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TicketNumber(pub u64);
 
-/// A request that wants to be admitted.
+/// A request that asks for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Place of its priority: 0 is the highest.
+    /// Priority rank; 0 is the highest.
     pub rank: u32,
-    /// It is in time when it begins before this.
+    /// The request can be answered in time if it starts before this moment.
     pub in_time_until: Timestamp,
-    /// It is given up when it has not begun by then.
+    /// The request is given up if it has not started by this moment.
     pub give_up_at: Timestamp,
-    /// Whose it is, where that is known.
+    /// Tenant of the request, if known.
     pub tenant: Option<SharingTenant>,
 }
 
-/// The order among requests; the least one is next.
+/// Sort key; the least one is next.
 type Order = (u32, bool, bool, Reverse<TicketNumber>, TicketNumber);
 
-/// Requests that wait.
+/// Queued requests, with the tenant shares that order them.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     next: u64,
@@ -40,23 +40,23 @@
 }
 
 impl AdmissionQueue {
-    /// A request comes, whether it is to wait or not.
+    /// Counts an arriving request for the tenant shares, whether it will be queued or not.
     pub fn record_arrival(&mut self, now: Timestamp, candidate: &Candidate) {
         self.shares.arrived(now, candidate.rank, candidate.tenant);
     }
 
-    /// A request begins, whether it has waited or not.
+    /// Counts a starting request for the tenant shares, whether it was queued or not.
     pub fn record_start(&mut self, candidate: &Candidate) {
         self.shares.begun(candidate.rank);
     }
 
-    /// Whether a request goes before those that make the rush: its tenant is known and asks for no more than
-    /// its share of what its priority gets.
+    /// Whether the tenant of a request is known and asks for no more than its share of what its
+    /// priority gets.
     pub fn is_within_share(&self, candidate: &Candidate) -> bool {
         candidate.tenant.is_some() && !self.shares.is_beyond(candidate.rank, candidate.tenant)
     }
 
-    /// A request joins.
+    /// Adds a request and returns its ticket.
     pub fn join(&mut self, candidate: Candidate) -> TicketNumber {
         let ticket = TicketNumber(self.next);
         self.next += 1;
@@ -64,57 +64,59 @@
         ticket
     }
 
-    /// A request leaves; false when it does not wait any more.
+    /// Removes a request; returns whether it was still queued.
     pub fn leave(&mut self, ticket: TicketNumber) -> bool {
         self.waiting.remove(&ticket).is_some()
     }
 
-    /// How many wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many are served before a request that comes now, or with it: those of higher priority, and of its
-    /// own those that can still be in time, but for tenants that it goes before.
+    /// Number of queued requests that are served before one that arrives now, or along with it:
+    /// those of higher priority, and those of its own priority that can still be in time, except
+    /// for tenants beyond their share if its own is within.
     pub fn ahead(&self, now: Timestamp, newcomer: &Candidate) -> usize {
         let goes_first = self.is_within_share(newcomer);
-        let goes_along = |waiting: &Candidate| {
+        let is_served_first = |waiting: &Candidate| {
             now < waiting.in_time_until && (!goes_first || self.is_within_share(waiting))
         };
         let ahead = |waiting: &&Candidate| {
-            waiting.rank < newcomer.rank || waiting.rank == newcomer.rank && goes_along(waiting)
+            waiting.rank < newcomer.rank
+                || waiting.rank == newcomer.rank && is_served_first(waiting)
         };
         self.waiting.values().filter(ahead).count()
     }
 
-    /// Those that cannot be in time any more and would wait in vain, when so many of their kind are served
-    /// in a second: they do not wait any more.
+    /// Removes and returns the late requests that would be given up before they start, when
+    /// `late_per_second` late requests are served.
     pub fn take_unservable(&mut self, now: Timestamp, late_per_second: f64) -> Vec<TicketNumber> {
         let is_late = |(_, candidate): &(&TicketNumber, &Candidate)| now >= candidate.in_time_until;
         let mut late: Vec<_> = self.waiting.iter().filter(is_late).collect();
         late.sort_by_key(|waiting| self.order(now, *waiting));
         let mut kept = 0.0;
-        let mut hopeless = Vec::new();
+        let mut unservable = Vec::new();
         for (ticket, candidate) in late {
             let left = candidate.give_up_at.since(now).as_secs_f64();
             if (kept + 1.0) / late_per_second.max(f64::EPSILON) > left {
-                hopeless.push(*ticket);
+                unservable.push(*ticket);
             } else {
                 kept += 1.0;
             }
         }
-        hopeless.iter().for_each(|ticket| {
+        unservable.iter().for_each(|ticket| {
             self.waiting.remove(ticket);
         });
-        hopeless
+        unservable
     }
 
-    /// The next one of those whose rank may begin; it does not wait any more.
+    /// Removes and returns the next request among those whose rank may start.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -132,7 +134,7 @@
     fn order(&self, now: Timestamp, (ticket, candidate): (&TicketNumber, &Candidate)) -> Order {
         let late = now >= candidate.in_time_until;
         let newest = if late { TicketNumber(0) } else { *ticket };
-        let after_others = !self.is_within_share(candidate);
-        (candidate.rank, late, after_others, Reverse(newest), *ticket)
+        let beyond_share = !self.is_within_share(candidate);
+        (candidate.rank, late, beyond_share, Reverse(newest), *ticket)
     }
 }
--- a/crates/domain/src/forwarding/overload.rs
+++ b/crates/domain/src/forwarding/overload.rs
@@ -1,13 +1,13 @@
-//! Admission of requests for one destination when its leaves run short of capacity.
+//! Admission control for one destination when its leaves run short of capacity.
 //!
-//! While most requests are answered in time everything is admitted. When many are late, the requests
-//! under way are limited: the limit falls while it stays so and rises slowly when it is over. A request
-//! to many shards of which only a few were late does not count. Requests beyond the limit wait, within
-//! bounds of their own: they have not run, and served late they are worth more than refused. One that
-//! would wait in vain is refused at once.
+//! While most requests are answered in time, all are admitted. When many are late, the number of
+//! requests in flight is limited: the limit falls after each bad round and rises slowly afterwards.
+//! A fan-out request of which only a few shards were late does not count as bad. Requests beyond
+//! the limit are queued, within bounds of their own: they have not run, and a late answer is worth
+//! more than a refusal. A request that would not start before it is given up is refused at once.
 //!
-//! At the start nothing is known of the leaves, and many callers may come at once: the limit begins
-//! low and rises with each request that is answered in time, until the first ones are late.
+//! At the start nothing is known of the leaves, and many callers may arrive at once: the limit
+//! begins low and rises with each request that is answered in time, until the first late ones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,35 +15,34 @@
 use super::admission_queue::{AdmissionQueue, Candidate, TicketNumber};
 use crate::time::Timestamp;
 
-/// Rounds from which on a rush is taken for one that lasts.
-const RUSH_ROUNDS: u32 = 3;
+/// Rounds of surplus arrivals after which the surge counts as lasting.
+const OVERLOAD_ROUNDS: u32 = 3;
 
-/// Bounds of admission.
+/// Parameters of admission control.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OverloadGateSettings {
-    /// Time over which outcomes are judged together.
+    /// Length of a round, over which outcomes are judged together.
     pub round: Duration,
-    /// Share of late or refused requests above which a round is bad.
+    /// Share of late requests above which a round is bad.
     pub bad_share: f64,
-    /// Share of the parts of a late request that came in time from which on it tells of the shards
-    /// that were late, and not of a lack of capacity.
+    /// Share of the parts of a late request that arrived in time, from which the lateness is
+    /// attributed to single shards and not to a lack of capacity.
     pub isolated_late_share: f64,
-    /// Requests that a round needs to be judged.
+    /// Minimum number of samples for a round to be judged.
     pub least_samples: u32,
-    /// Factor of the limit after a bad round.
+    /// Factor applied to the limit after a bad round.
     pub decrease: f64,
-    /// Factor of the limit after a good round.
+    /// Factor applied to the limit after a good round.
     pub increase: f64,
-    /// Least limit.
+    /// Lower bound of the limit, in requests.
     pub least_limit: f64,
-    /// Part of the limit that each lower rank may not use.
+    /// Share of the limit that is reserved from each lower priority rank.
     pub reserve: f64,
-    /// How many times as many requests as end have to come in a round for it to be said that those
-    /// which wait would wait in vain.
+    /// Ratio of arrivals to completions in a round above which arrivals count as a surge.
     pub surge_ratio: f64,
-    /// Limit at the start.
+    /// Initial limit, in requests.
     pub first_limit: f64,
-    /// Bounds of the time after which a refused caller may come back.
+    /// Lower and upper bound of the retry time given to refused callers.
     pub retry_after: [Duration; 2],
 }
 
@@ -65,37 +64,37 @@
     }
 }
 
-/// Whether a request is served.
+/// Decision on an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is; [`OverloadGate::finish`] has to follow.
+    /// Admitted; [`OverloadGate::finish`] must follow.
     Admitted,
-    /// It waits: [`OverloadGate::next`] gives its number once it is admitted, [`OverloadGate::leave`] ends
+    /// Queued: [`OverloadGate::next`] returns the ticket on admission, [`OverloadGate::leave`] ends
     /// the wait.
     Queued(TicketNumber),
-    /// It is not; its caller may come back after this time.
+    /// Refused; the caller may retry after this time.
     Refused(Duration),
 }
 
-/// How a request that was admitted has ended.
+/// Outcome of an admitted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was answered within its target latency, from its admission.
+    /// Answered within the target latency, counted from its admission.
     InTime,
-    /// It was not.
+    /// Not answered within the target latency.
     Late {
-        /// Parts that came within the target latency, and all parts, of a request to many shards.
+        /// For a fan-out request: parts that arrived within the target latency, and all parts.
         parts: Option<(usize, usize)>,
     },
-    /// Its caller gave it up.
+    /// Cancelled by its caller, or ended for a reason unrelated to capacity.
     GivenUp,
 }
 
 impl RequestOutcome {
-    /// Whether it tells that leaves run short; none where it tells nothing. All shards of a request
-    /// get the same load: where few of them are late, these are slow, and fewer requests would not
-    /// make them faster.
-    fn tells_of_shortage(self, settings: &OverloadGateSettings) -> Option<bool> {
+    /// Whether the outcome indicates a lack of capacity; `None` if it says nothing. All shards of a
+    /// request get the same load: where only a few are late, those shards are slow, and fewer
+    /// requests would not make them faster.
+    fn indicates_shortage(self, settings: &OverloadGateSettings) -> Option<bool> {
         match self {
             Self::InTime => Some(false),
             Self::Late { parts: None } => Some(true),
@@ -107,101 +106,101 @@
     }
 }
 
-/// Admission for one destination.
+/// Admission control for one destination.
 #[derive(Debug)]
 pub struct OverloadGate {
     in_flight: u32,
     limit: Limit,
     limited_since: Timestamp,
     round: Round,
-    /// Recent rounds in which clearly more came than ended while leaves ran short, less those in which
-    /// that was not so.
-    rush_rounds: u32,
-    line: AdmissionQueue,
-    /// Those that waited and do not know yet that they are admitted.
+    /// Rounds with a surge while the limit was reduced, minus those without; at least 0.
+    surge_rounds: u32,
+    queue: AdmissionQueue,
+    /// Admitted tickets whose requests have not been told yet.
     admitted: BTreeSet<TicketNumber>,
-    /// How many requests begin in a second though they are late already, smoothed over rounds.
+    /// Rate of requests per second that start although they are already late, smoothed over rounds.
     late_per_second: f64,
-    /// Whether a round was judged since it was last asked who waits in vain.
-    judged_anew: bool,
-    /// Requests that ended in the last round that was judged, and its length.
+    /// Whether a round was judged since the last call of [`OverloadGate::take_unservable`].
+    round_judged: bool,
+    /// Number of samples and length of the last judged round.
     last_round: (u32, Duration),
 }
 
-/// What was seen in a round.
+/// Counters of one round.
 #[derive(Debug, Clone, Copy, Default)]
 struct Round {
     began: Timestamp,
-    /// Requests that came.
+    /// Requests that arrived.
     arrived: u32,
-    /// Requests that ended.
+    /// Requests that ended with any outcome.
     ended: u32,
-    /// Those of them that tell that leaves do not run short.
+    /// Outcomes that indicate sufficient capacity.
     good: u32,
-    /// Those of them that tell that leaves run short.
+    /// Outcomes that indicate a lack of capacity.
     bad: u32,
-    /// Most requests under way.
-    most: u32,
-    /// Requests that began though they were late already.
-    late_begun: u32,
+    /// Maximum number of requests in flight.
+    peak: u32,
+    /// Requests that started although they were already late.
+    late_started: u32,
 }
 
 impl Round {
-    /// Whether clearly more requests came than ended.
-    fn is_rush(&self, settings: &OverloadGateSettings) -> bool {
+    /// Whether clearly more requests arrived than ended.
+    fn is_surge(&self, settings: &OverloadGateSettings) -> bool {
         f64::from(self.arrived) > f64::from(self.ended) * settings.surge_ratio + 1.0
     }
 }
 
-/// How many requests may be under way.
+/// Limit on the requests in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Limit {
-    /// As many as come.
-    None,
-    /// So many, and more with each that is in time: nothing is known yet.
+    /// No limit.
+    Unlimited,
+    /// A limit that grows with each request answered in time, while the capacity is unknown.
     Rising(f64),
-    /// So many, since leaves run short.
-    Short(f64),
+    /// A limit because leaves run short of capacity.
+    Reduced(f64),
 }
 
 impl OverloadGate {
-    /// Nothing is known yet.
+    /// A gate with the initial limit.
     pub fn new(settings: &OverloadGateSettings) -> Self {
         Self {
             in_flight: 0,
             limit: Limit::Rising(settings.first_limit),
             limited_since: Timestamp::ZERO,
             round: Round::default(),
-            rush_rounds: 0,
-            line: AdmissionQueue::default(),
+            surge_rounds: 0,
+            queue: AdmissionQueue::default(),
             admitted: BTreeSet::new(),
             late_per_second: f64::INFINITY,
-            judged_anew: false,
+            round_judged: false,
             last_round: (0, Duration::ZERO),
         }
     }
 
-    /// Whether leaves run short.
+    /// Whether the leaves run short of capacity.
     pub fn is_limiting(&self) -> bool {
-        matches!(self.limit, Limit::Short(_))
+        matches!(self.limit, Limit::Reduced(_))
     }
 
-    /// Whether leaves run short while clearly more requests come than end.
+    /// Whether arrivals have clearly exceeded completions for several rounds while the leaves run
+    /// short of capacity.
     pub fn is_overloaded(&self) -> bool {
-        self.rush_rounds >= RUSH_ROUNDS
+        self.surge_rounds >= OVERLOAD_ROUNDS
     }
 
-    /// Requests under way.
+    /// Number of admitted requests that have not ended.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
-    /// A request comes.
+    /// Decides whether an arriving request is admitted, queued or refused.
     pub fn enter(
         &mut self,
         now: Timestamp,
@@ -209,20 +208,21 @@
         candidate: Candidate,
     ) -> AdmissionDecision {
         self.round.arrived += 1;
-        self.line.record_arrival(now, &candidate);
+        self.queue.record_arrival(now, &candidate);
         if self.may_begin(settings, candidate.rank) {
             self.begin(&candidate);
             return AdmissionDecision::Admitted;
         }
         let expected = now.after(self.expected_wait(now, &candidate));
-        let makes_the_rush = self.is_overloaded() && !self.line.is_within_share(&candidate);
-        if makes_the_rush || expected >= candidate.give_up_at {
+        let exceeds_share = self.is_overloaded() && !self.queue.is_within_share(&candidate);
+        if exceeds_share || expected >= candidate.give_up_at {
             return AdmissionDecision::Refused(self.retry_after(now, settings));
         }
-        AdmissionDecision::Queued(self.line.join(candidate))
+        AdmissionDecision::Queued(self.queue.join(candidate))
     }
 
-    /// The next request that waited and is admitted now; [`OverloadGate::finish`] has to follow.
+    /// Admits the next queued request that fits under the limit; [`OverloadGate::finish`] must
+    /// follow.
     pub fn next(
         &mut self,
         now: Timestamp,
@@ -230,42 +230,43 @@
     ) -> Option<TicketNumber> {
         let (in_flight, limit) = (self.in_flight, self.limit);
         let begins = |rank| may_begin(in_flight, limit, settings, rank);
-        let (ticket, candidate) = self.line.take(now, begins)?;
-        self.round.late_begun += u32::from(now >= candidate.in_time_until);
+        let (ticket, candidate) = self.queue.take(now, begins)?;
+        self.round.late_started += u32::from(now >= candidate.in_time_until);
         self.begin(&candidate);
         self.admitted.insert(ticket);
         Some(ticket)
     }
 
-    /// A request that waited knows that it is admitted.
+    /// Records that a queued request has been told of its admission.
     pub fn confirm_admission(&mut self, ticket: TicketNumber) {
         self.admitted.remove(&ticket);
     }
 
-    /// Requests that wait in vain, as the last rounds tell: while as many come as are served, nothing is
-    /// left over for those that are late already. They are to be refused at once.
+    /// Removes and returns the queued requests that are not expected to start before they are given
+    /// up, judged by the last rounds; the caller must refuse them. While arrivals use up the whole
+    /// capacity, none is left for requests that are already late.
     pub fn take_unservable(&mut self, now: Timestamp) -> Vec<TicketNumber> {
-        match std::mem::take(&mut self.judged_anew) && self.is_overloaded() {
-            true => self.line.take_unservable(now, self.late_per_second),
+        match std::mem::take(&mut self.round_judged) && self.is_overloaded() {
+            true => self.queue.take_unservable(now, self.late_per_second),
             false => Vec::new(),
         }
     }
 
-    /// A request ends its wait; when it was admitted meanwhile and does not know, this is its end. Gives when
-    /// its caller may come back.
+    /// Ends the wait of a request; if it was admitted without having been told, this also ends the
+    /// request. Returns the retry time for its caller.
     pub fn leave(
         &mut self,
         now: Timestamp,
         settings: &OverloadGateSettings,
         ticket: TicketNumber,
     ) -> Duration {
-        if !self.line.leave(ticket) && self.admitted.remove(&ticket) {
+        if !self.queue.leave(ticket) && self.admitted.remove(&ticket) {
             self.finish(now, settings, RequestOutcome::GivenUp);
         }
         self.retry_after(now, settings)
     }
 
-    /// A request that was admitted has ended.
+    /// Records the outcome of an admitted request and judges the round when it is over.
     pub fn finish(
         &mut self,
         now: Timestamp,
@@ -274,7 +275,7 @@
     ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.round.ended += 1;
-        match ended.tells_of_shortage(settings) {
+        match ended.indicates_shortage(settings) {
             Some(true) => self.round.bad += 1,
             Some(false) => self.round.good += 1,
             None => {}
@@ -292,20 +293,20 @@
     }
 
     fn begin(&mut self, candidate: &Candidate) {
-        self.line.record_start(candidate);
+        self.queue.record_start(candidate);
         self.in_flight += 1;
-        self.round.most = self.round.most.max(self.in_flight);
+        self.round.peak = self.round.peak.max(self.in_flight);
     }
 
-    /// How long a request waits that comes now, as the last round tells.
+    /// Expected queueing time of a request that arrives now, from the throughput of the last round.
     fn expected_wait(&self, now: Timestamp, candidate: &Candidate) -> Duration {
         let (ended, length) = self.last_round;
-        let ahead = self.line.ahead(now, candidate) as u32;
+        let ahead = self.queue.ahead(now, candidate) as u32;
         if ended == 0 { Duration::ZERO } else { length * ahead / ended }
     }
 
-    /// When a refused caller may come back: after as long as it has lasted already, within bounds, since
-    /// nobody knows how long it goes on.
+    /// Retry time for refused callers: as long as the shortage has lasted, within bounds, since its
+    /// remaining duration is unknown.
     fn retry_after(&self, now: Timestamp, settings: &OverloadGateSettings) -> Duration {
         let [least, most] = settings.retry_after;
         now.since(self.limited_since).clamp(least, most)
@@ -320,51 +321,51 @@
         let is_bad = f64::from(self.round.bad) > f64::from(samples) * settings.bad_share
             && samples >= settings.least_samples;
         self.limit = match (self.limit, is_bad) {
-            (Limit::None | Limit::Rising(_), true) => {
+            (Limit::Unlimited | Limit::Rising(_), true) => {
                 self.limited_since = now;
-                Limit::Short(self.lowered(f64::from(self.round.most), settings))
+                Limit::Reduced(self.lowered(f64::from(self.round.peak), settings))
             }
-            (Limit::Short(limit), true) => Limit::Short(self.lowered(limit, settings)),
-            (Limit::Short(limit), false) => {
+            (Limit::Reduced(limit), true) => Limit::Reduced(self.lowered(limit, settings)),
+            (Limit::Reduced(limit), false) => {
                 let raised = (limit * settings.increase).max(limit + 1.0);
-                self.unless_none(raised, Limit::Short(raised))
+                self.unless_unused(raised, Limit::Reduced(raised))
             }
-            (Limit::Rising(limit), false) => self.unless_none(limit, self.limit),
-            (Limit::None, false) => Limit::None,
+            (Limit::Rising(limit), false) => self.unless_unused(limit, self.limit),
+            (Limit::Unlimited, false) => Limit::Unlimited,
         };
-        self.judge_late(length);
-        self.rush_rounds = match self.is_limiting() && self.round.is_rush(settings) {
-            true => (self.rush_rounds + 1).min(2 * RUSH_ROUNDS),
-            false => self.rush_rounds.saturating_sub(1),
+        self.update_late_rate(length);
+        self.surge_rounds = match self.is_limiting() && self.round.is_surge(settings) {
+            true => (self.surge_rounds + 1).min(2 * OVERLOAD_ROUNDS),
+            false => self.surge_rounds.saturating_sub(1),
         };
         self.last_round = (samples, length);
-        self.round = Round { began: now, most: self.in_flight, ..Round::default() };
+        self.round = Round { began: now, peak: self.in_flight, ..Round::default() };
     }
 
-    fn judge_late(&mut self, length: Duration) {
-        let rate = f64::from(self.round.late_begun) / length.as_secs_f64().max(f64::EPSILON);
+    fn update_late_rate(&mut self, length: Duration) {
+        let rate = f64::from(self.round.late_started) / length.as_secs_f64().max(f64::EPSILON);
         self.late_per_second = match self.is_limiting() {
             true if self.late_per_second.is_finite() => (self.late_per_second + rate) / 2.0,
             true => rate,
-            // Whoever waited before leaves ran short has its chance.
+            // Requests that waited before the shortage keep their chance.
             false => f64::INFINITY,
         };
-        self.judged_anew = true;
+        self.round_judged = true;
     }
 
-    /// A limit that nothing comes near is none.
-    fn unless_none(&self, limit: f64, otherwise: Limit) -> Limit {
-        if f64::from(self.round.most) * 2.0 > limit { otherwise } else { Limit::None }
+    /// Lifts a limit of which less than half is used.
+    fn unless_unused(&self, limit: f64, otherwise: Limit) -> Limit {
+        if f64::from(self.round.peak) * 2.0 > limit { otherwise } else { Limit::Unlimited }
     }
 
     fn lowered(&self, limit: f64, settings: &OverloadGateSettings) -> f64 {
-        let used = limit.min(f64::from(self.round.most.max(1)));
+        let used = limit.min(f64::from(self.round.peak.max(1)));
         (used * settings.decrease).max(settings.least_limit)
     }
 }
 
 fn may_begin(in_flight: u32, limit: Limit, settings: &OverloadGateSettings, rank: u32) -> bool {
-    let (Limit::Rising(limit) | Limit::Short(limit)) = limit else {
+    let (Limit::Rising(limit) | Limit::Reduced(limit)) = limit else {
         return true;
     };
     let rank = i32::try_from(rank).unwrap_or(i32::MAX);
