--- a/crates/domain/src/forwarding/cold_leaves.rs
+++ b/crates/domain/src/forwarding/cold_leaves.rs
@@ -1,10 +1,11 @@
-//! What a leaf gets while it is cold: after its start, or after its zone was restored.
+//! Slow start: limits the request rate to a cold leaf, after its start or the restoration of its
+//! zone.
 //!
-//! All brokers together may send it a stated rate. They share it without a word between them: the
-//! rate is cut into whole requests a second, and these go to the brokers in an order that all of
-//! them compute alike, those of the leaf's zone first. A broker that gets none sends none, so that
-//! the sum does not round up however many brokers there are. The ways weighed are in
-//! `docs/design/cold-leaves.md`.
+//! The configured rate holds for all brokers together and is divided without coordination: it is
+//! split into whole requests per second, which are assigned to the brokers in an order that each of
+//! them computes alike, those of the leaf's zone first. A broker without an assigned request sends
+//! none, so that the sum does not round up however many brokers there are.
+//! `docs/design/cold-leaves.md` compares the alternatives.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,48 +18,50 @@
 use crate::identifiers::{BrokerName, LeafIdentity};
 use crate::time::Timestamp;
 
-/// Salt of the hash that orders brokers for a leaf.
+/// Salt of the hash that orders the brokers for a leaf.
 const ORDER_SALT: u64 = 0x636f_6c64;
-/// Part by which the time between two requests is longer than the rate says, so that no window of a
-/// second holds one more at its edge.
+/// Factor by which the interval between two requests exceeds the nominal one, so that no window of
+/// a second holds an extra request at its edge.
 const SPACING: f64 = 1.02;
 
-/// How the leaves of a service start.
+/// Slow-start settings of a service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// How long a leaf is cold, in milliseconds.
+    /// Time for which a leaf is cold, in milliseconds.
     pub span_ms: u64,
-    /// Requests that a cold leaf takes in 1,000 seconds from all brokers together; 0 for no limit.
+    /// Limit of requests to a cold leaf from all brokers together, per 1,000 seconds; 0 for no
+    /// limit.
     pub requests_per_1000_s: u32,
 }
 
 impl ColdStart {
-    /// How long a leaf is cold.
+    /// Time for which a leaf is cold.
     pub fn span(self) -> Duration {
         Duration::from_millis(self.span_ms)
     }
 
-    /// Whether cold leaves are limited.
+    /// Whether the rate to cold leaves is limited.
     pub fn is_limited(self) -> bool {
         self.requests_per_1000_s > 0
     }
 }
 
-/// What one broker may send to one cold leaf: a request each so often, or none.
+/// Share of one broker in the rate to a cold leaf: one request per interval, or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdShare {
     interval: Option<Duration>,
 }
 
 impl ColdShare {
-    /// Nothing.
+    /// No request.
     pub const NOTHING: Self = Self { interval: None };
-    /// Age of a process from which it takes part: whatever ran under its name before may have sent in
-    /// the last second.
+    /// Minimum age of a process to get a share: a predecessor under the same name may have sent
+    /// within the last second.
     pub const LEAST_AGE: Duration = Duration::from_millis(1_100);
 
-    /// The share of `own` among all `brokers` that may be serving; `distance` is theirs from the leaf. Nothing while `own` is not among
-    /// them, or its process is so young that another one may have sent under its name.
+    /// The share of `own` among all `brokers` that may be serving; `distance` gives the distance of
+    /// a broker from the leaf. The share is nothing while `own` is not among them or its process is
+    /// younger than [`Self::LEAST_AGE`].
     pub fn of(
         start: ColdStart,
         leaf: &LeafIdentity,
@@ -80,7 +83,7 @@
         let rank = brokers.iter().filter(|broker| place(broker) < own_place).count();
         let requests = (start.requests_per_1000_s / 1_000) as usize;
         if requests == 0 {
-            // Less than one a second: the first of all sends them.
+            // Below one request per second a single broker, the first in the order, sends them all.
             let each = 1_000.0 / f64::from(start.requests_per_1000_s.max(1));
             return if rank == 0 { Self::every(each) } else { Self::NOTHING };
         }
@@ -99,31 +102,31 @@
 #[derive(Debug, Clone, Copy)]
 struct ColdLeaf {
     until: Timestamp,
-    /// When this broker may send the next request.
+    /// Earliest time of the next request of this broker.
     next: Timestamp,
 }
 
-/// The leaves that are cold, as one broker knows them.
+/// Cold leaves as one broker knows them.
 #[derive(Debug, Default)]
 pub struct ColdLeaves {
     leaves: BTreeMap<LeafIdentity, ColdLeaf>,
 }
 
 impl ColdLeaves {
-    /// A leaf is cold until then, unless it is known to be for longer.
+    /// Marks a leaf as cold until `until`, or until the known end if that is later.
     pub fn mark_cold(&mut self, leaf: &LeafIdentity, until: Timestamp) {
-        let known = self.leaves.entry(leaf.clone());
-        let cold = known.or_insert(ColdLeaf { until, next: Timestamp::ZERO });
+        let entry = self.leaves.entry(leaf.clone());
+        let cold = entry.or_insert(ColdLeaf { until, next: Timestamp::ZERO });
         cold.until = cold.until.max(until);
     }
 
-    /// Whether a leaf is cold.
+    /// Whether a leaf is cold at `now`.
     pub fn is_cold(&self, now: Timestamp, leaf: &LeafIdentity) -> bool {
         self.leaves.get(leaf).is_some_and(|cold| now < cold.until)
     }
 
-    /// Whether a request may be sent to a leaf now: one that is not cold, or that has room in the
-    /// share of this broker.
+    /// Whether a request may be sent to a leaf now: the leaf is not cold, or the share of this
+    /// broker has room.
     pub fn has_room(&self, now: Timestamp, leaf: &LeafIdentity, share: ColdShare) -> bool {
         match self.leaves.get(leaf).filter(|cold| now < cold.until) {
             Some(cold) => share.interval.is_some() && now >= cold.next,
@@ -131,19 +134,19 @@
         }
     }
 
-    /// A request is sent to a leaf.
+    /// Records a request to a leaf.
     pub fn sent(&mut self, now: Timestamp, leaf: &LeafIdentity, share: ColdShare) {
         if let (Some(cold), Some(interval)) = (self.leaves.get_mut(leaf), share.interval) {
             cold.next = now.after(interval);
         }
     }
 
-    /// Forgets the leaves that are cold no more.
+    /// Removes the leaves that are no longer cold.
     pub fn forget_warm(&mut self, now: Timestamp) {
         self.leaves.retain(|_, cold| now < cold.until);
     }
 
-    /// How many leaves are cold.
+    /// Number of cold leaves.
     pub fn count(&self, now: Timestamp) -> usize {
         self.leaves.values().filter(|cold| now < cold.until).count()
     }
--- a/crates/domain/src/forwarding/connection_plan.rs
+++ b/crates/domain/src/forwarding/connection_plan.rs
@@ -1,9 +1,9 @@
-//! Which connections to the leaves of one service a broker keeps ready.
+//! Plans which connections to the leaves of one service a broker keeps open in advance.
 //!
-//! A leaf accepts so many connections from all brokers together. It is *primary* for the brokers that
-//! have no nearer leaf of the service, and *standby* for those that turn to it first when theirs is
-//! late. Every broker that knows the same brokers and leaves comes to connections that add up to no
-//! more than the leaf accepts, without a word between them.
+//! A leaf accepts a limited number of connections from all brokers together. It is *primary* for
+//! the brokers that have no nearer leaf of the service, and *standby* for those that fall back to
+//! it first when theirs is late. All brokers that know the same brokers and leaves compute plans
+//! that add up to no more than the leaf accepts, without coordination.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 use crate::hash::hash;
 use crate::identifiers::{BrokerName, LeafIdentity, ServiceName, ZoneName};
 
-/// Salt of the hash of a service by which standbys are turned round.
-const TURN_SALT: u64 = 0x706c_616e;
+/// Salt of the hash of a service by which standbys are rotated.
+const ROTATION_SALT: u64 = 0x706c_616e;
 
-/// The live brokers by zone.
+/// Live brokers by zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BrokerCensus {
     zones: BTreeMap<ZoneName, Vec<BrokerName>>,
 }
 
 impl BrokerCensus {
-    /// Counts brokers, given with their zones.
+    /// Builds the census from brokers with their zones.
     pub fn new(brokers: impl IntoIterator<Item = (ZoneName, BrokerName)>) -> Self {
         let mut zones: BTreeMap<ZoneName, Vec<BrokerName>> = BTreeMap::new();
         for (zone, name) in brokers {
@@ -30,41 +30,41 @@
         Self { zones }
     }
 
-    /// How many there are in a zone.
+    /// Number of brokers in a zone.
     pub fn in_zone(&self, zone: &ZoneName) -> usize {
         self.zones.get(zone).map_or(0, Vec::len)
     }
 
-    /// How many there are.
+    /// Number of brokers in all zones.
     pub fn total(&self) -> usize {
         self.zones.values().map(Vec::len).sum()
     }
 
-    /// Place of a broker among those of its zone.
+    /// Position of a broker among those of its zone.
     fn place(&self, zone: &ZoneName, own: &BrokerName) -> usize {
         let brokers = self.zones.get(zone).into_iter().flatten();
         brokers.take_while(|name| *name != own).count()
     }
 }
 
-/// A broker, for which a plan is made.
+/// The broker for which a plan is made.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanningBroker<'broker> {
-    /// Its name.
+    /// Name of the broker.
     pub name: &'broker BrokerName,
-    /// Its zone.
+    /// Zone of the broker.
     pub zone: &'broker ZoneName,
 }
 
-/// What one broker keeps ready of the leaves of one service.
+/// Leaves of one service to which one broker keeps connections open.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ConnectionPlan {
     ready: Vec<LeafIdentity>,
 }
 
 impl ConnectionPlan {
-    /// The plan of a broker for leaves, given with their zones, each of which accepts `accepted`
-    /// connections. `regions` gives the region of each zone.
+    /// Plans for leaves given with their zones, each of which accepts `accepted` connections.
+    /// `regions` maps a zone to its region.
     pub fn new(
         service: &ServiceName,
         leaves: &[(LeafIdentity, ZoneName)],
@@ -73,41 +73,42 @@
         census: &BrokerCensus,
         regions: &BTreeMap<String, String>,
     ) -> Self {
-        let layout = Layout { leaves, regions, turn: hash(service.as_str().as_bytes(), TURN_SALT) };
+        let layout =
+            Layout { leaves, regions, rotation: hash(service.as_str().as_bytes(), ROTATION_SALT) };
         let users = Users::new(&layout, census);
         let own = layout.choices(broker.zone);
         let standby = own.standby_of(census.place(broker.zone, broker.name));
         let first = (own.primary.len() == 1).then(|| own.primary.first().copied()).flatten();
         let ready = first.into_iter().chain(standby);
-        let ready = ready.filter(|leaf| users.have_room(*leaf, accepted));
+        let ready = ready.filter(|leaf| users.has_room(*leaf, accepted));
         Self { ready: ready.map(|leaf| leaves[leaf].0.clone()).collect() }
     }
 
-    /// Leaves to which a connection is kept ready: the only nearest one, and the one to turn to
-    /// when that is late.
+    /// Leaves to which a connection is kept open: the primary one, if it is the only nearest one,
+    /// and its standby.
     pub fn ready(&self) -> &[LeafIdentity] {
         &self.ready
     }
 }
 
-/// Which leaves the brokers of a zone use, by index.
+/// Leaves that the brokers of a zone use, by index.
 #[derive(Debug, Default)]
 struct Choices {
     primary: Vec<usize>,
-    /// The next nearest, over which the brokers of the zone are spread.
+    /// Standby candidates at the next distance, over which the brokers of the zone are spread.
     next: Vec<usize>,
 }
 
 impl Choices {
     fn standby_of(&self, place: usize) -> Option<usize> {
-        // With several nearest leaves, one of them is the one to turn to.
+        // Several nearest leaves serve as standbys for each other.
         if self.primary.len() > 1 || self.next.is_empty() {
             return None;
         }
         Some(self.next[place % self.next.len()])
     }
 
-    /// How many of `brokers` of the zone have a leaf as their standby.
+    /// Number of `brokers` of the zone whose standby is the given leaf.
     fn standby_brokers(&self, leaf: usize, brokers: usize) -> usize {
         let place = self.next.iter().position(|next| *next == leaf);
         match place.filter(|_| self.primary.len() == 1) {
@@ -117,16 +118,17 @@
     }
 }
 
-/// The leaves of one service and where they are.
+/// The leaves of one service and their locations.
 struct Layout<'plan> {
     leaves: &'plan [(LeafIdentity, ZoneName)],
     regions: &'plan BTreeMap<String, String>,
-    /// Turns the next nearest leaves round, so that a broker has other standbys for other services.
-    turn: u64,
+    /// Rotation of the standby candidates, so that a broker has different standbys for different
+    /// services.
+    rotation: u64,
 }
 
 impl Layout<'_> {
-    /// What the brokers of a zone choose.
+    /// Computes the primary and standby leaves of a zone.
     fn choices(&self, zone: &ZoneName) -> Choices {
         let between = |leaf: &ZoneName| Distance::between(zone, leaf, self.regions);
         let distances: Vec<Distance> = self.leaves.iter().map(|(_, leaf)| between(leaf)).collect();
@@ -137,15 +139,15 @@
         let nearest = distances.iter().min().copied();
         let next = distances.iter().filter(|distance| Some(**distance) > nearest).min().copied();
         let primary = at(nearest);
-        // No leaf is nearer than the others: the zone's brokers are spread over all of them.
+        // If all leaves are at the same distance, all are primary and there is no standby.
         let mut next = if next.is_none() { Vec::new() } else { at(next) };
-        let turn = self.turn as usize % next.len().max(1);
+        let turn = self.rotation as usize % next.len().max(1);
         next.rotate_left(turn);
         Choices { primary, next }
     }
 }
 
-/// How many brokers use the leaves of one service, by the index of the leaf.
+/// Number of brokers that use each leaf of one service, by index of the leaf.
 struct Users {
     primary: Vec<usize>,
     standby: Vec<usize>,
@@ -153,8 +155,8 @@
 
 impl Users {
     fn new(layout: &Layout<'_>, census: &BrokerCensus) -> Self {
-        let nobody = vec![0; layout.leaves.len()];
-        let mut users = Self { primary: nobody.clone(), standby: nobody };
+        let none = vec![0; layout.leaves.len()];
+        let mut users = Self { primary: none.clone(), standby: none };
         for (zone, brokers) in &census.zones {
             let choices = layout.choices(zone);
             for leaf in &choices.primary {
@@ -167,9 +169,9 @@
         users
     }
 
-    /// Whether a leaf accepts one connection of each broker that has it as the nearest or as the one
-    /// to turn to. Where it does not, an idle connection would keep out somebody's request.
-    fn have_room(&self, leaf: usize, accepted: usize) -> bool {
+    /// Whether a leaf accepts one connection from each broker that has it as primary or standby.
+    /// Otherwise an idle connection would block the request of another broker.
+    fn has_room(&self, leaf: usize, accepted: usize) -> bool {
         self.primary[leaf] + self.standby[leaf] <= accepted
     }
 }
--- a/crates/domain/src/forwarding/connection_share.rs
+++ b/crates/domain/src/forwarding/connection_share.rs
@@ -1,31 +1,31 @@
-//! How many of the connections that a leaf accepts one broker may open.
+//! Divides the connections that a leaf accepts among the brokers.
 
-/// How much more a broker of the leaf's own zone gets than one of another zone: those send it
-/// nearly all of its requests, the others only what their own leaves cannot take.
+/// Weight of a broker in the zone of the leaf relative to others: it sends the leaf nearly all
+/// requests of its callers, the others only what their own leaves cannot take.
 const OWN_ZONE_WEIGHT: usize = 3;
-/// Least connections of a broker in the leaf's zone.
-const LEAST_IN_ZONE: usize = 2;
-/// Least connections of another broker.
-const LEAST_ELSEWHERE: usize = 1;
+/// Minimum number of connections of a broker in the zone of the leaf.
+const MIN_IN_ZONE: usize = 2;
+/// Minimum number of connections of any other broker.
+const MIN_ELSEWHERE: usize = 1;
 
-/// The brokers that share a leaf.
+/// Numbers of brokers that share a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SharingBrokers {
-    /// Those in the leaf's zone.
+    /// Brokers in the zone of the leaf.
     pub in_zone: usize,
-    /// All others.
+    /// All other brokers.
     pub elsewhere: usize,
 }
 
-/// Connections that a broker may open to a leaf which accepts `accepted` from all brokers
-/// together. Every broker that knows the same brokers comes to shares that add up to no more,
-/// unless the leaf accepts too few for everybody's least share. What rounding leaves over goes to
-/// the brokers elsewhere when it is enough for one more each, and else to those in the zone.
+/// Number of connections that a broker may open to a leaf which accepts `accepted` from all brokers
+/// together. Brokers that know the same brokers compute shares that add up to no more, unless the
+/// leaf accepts too few for the minimum shares. The rounding remainder goes to the brokers
+/// elsewhere if it suffices for one more each, and otherwise to those in the zone.
 pub fn connection_share(accepted: usize, brokers: SharingBrokers, is_in_zone: bool) -> usize {
     let SharingBrokers { in_zone, elsewhere } = brokers;
     let weights = (in_zone * OWN_ZONE_WEIGHT + elsewhere).max(1);
-    let near = (accepted.saturating_mul(OWN_ZONE_WEIGHT) / weights).max(LEAST_IN_ZONE);
-    let far = (accepted / weights).max(LEAST_ELSEWHERE);
+    let near = (accepted.saturating_mul(OWN_ZONE_WEIGHT) / weights).max(MIN_IN_ZONE);
+    let far = (accepted / weights).max(MIN_ELSEWHERE);
     let given = near.saturating_mul(in_zone).saturating_add(far.saturating_mul(elsewhere));
     let left = accepted.saturating_sub(given);
     let (more_near, more_far) = match (left / in_zone.max(1), left / elsewhere.max(1)) {
--- a/crates/domain/src/forwarding/delivery.rs
+++ b/crates/domain/src/forwarding/delivery.rs
@@ -1,47 +1,47 @@
-//! How long it takes from when an answer is complete enough until its last byte is handed on.
+//! Estimates the time from when an answer is complete enough until its last byte is handed on.
 //!
-//! Merging, writing, and the wait for the processor behind the parts that still come in: next to
-//! nothing on a large machine, and a tenth of a target latency on one with a tenth of a core. An answer
-//! that has to leave by a moment is therefore finished that much earlier.
+//! It covers merging, writing, and the wait for CPU time behind parts that still arrive: close to
+//! nothing on a large machine, and a tenth of a target latency on one with a tenth of a core. An
+//! answer with a soft deadline is finished that much earlier.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Weight of the newest answer in the mean (RFC 6298 uses the same for round trips).
+/// Weight of the newest sample in the mean, as for round-trip times in RFC 6298.
 const MEAN_WEIGHT: f64 = 0.125;
-/// Weight of the newest answer in the mean deviation (as there).
+/// Weight of the newest sample in the mean deviation, as in RFC 6298.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Mean deviations beyond the mean that are expected of an answer: all but a few per cent keep to it.
-const DEVIATIONS: f64 = 2.0;
+/// Mean deviations added to the mean; all but a few per cent of answers stay below the sum.
+const DEVIATION_FACTOR: f64 = 2.0;
 
-/// The smoothed time and its mean deviation, in seconds.
+/// Smoothed time and its mean deviation, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Estimate {
     mean: f64,
     deviation: f64,
 }
 
-/// What the answers of one broker took to leave.
+/// Estimated delivery time of the answers of one broker.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct DeliveryTime {
     estimate: Option<Estimate>,
 }
 
-/// Bounds of the time before a target latency at which an answer is finished.
+/// Bounds of the margin before the target latency at which an answer is finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerMargin {
-    /// Least: what the way to the caller takes, which cannot be observed here.
+    /// Lower bound: the network time to the caller, which the broker cannot observe.
     pub least: Duration,
-    /// What an answer is expected to take to leave while this broker has observed none: where each broker has few
-    /// requests, that is most answers for a while after a start.
+    /// Delivery time assumed before the first observation. Where each broker gets few requests, it
+    /// applies to most answers for a while after a start.
     pub unobserved: Duration,
-    /// Most, whatever was observed.
+    /// Upper bound, whatever was observed.
     pub most: Duration,
 }
 
 impl DeliveryTime {
-    /// An answer took this long.
+    /// Adds a sample.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.estimate = Some(match self.estimate {
@@ -53,16 +53,16 @@
         });
     }
 
-    /// What the next answer is expected to take at most; none before the first.
+    /// Expected upper bound of the next delivery time, `None` before the first sample.
     pub fn expected(&self) -> Option<Duration> {
-        let expected = |estimate: Estimate| estimate.mean + DEVIATIONS * estimate.deviation;
+        let expected = |estimate: Estimate| estimate.mean + DEVIATION_FACTOR * estimate.deviation;
         let expected = self.estimate.map(expected)?;
         Some(Duration::from_secs_f64(expected.max(0.0)))
     }
 }
 
 impl AnswerMargin {
-    /// When an answer is finished that should be with its caller `target` after it was `received`.
+    /// Soft deadline of an answer that should reach its caller within `target` of being `received`.
     pub fn soft_deadline(
         &self,
         received: Timestamp,
--- a/crates/domain/src/forwarding/eligibility.rs
+++ b/crates/domain/src/forwarding/eligibility.rs
@@ -1,42 +1,42 @@
-//! Which leaves may be asked at all, whatever speaks for them: one check that first requests,
-//! hedges, retries and the parts of gathered answers all go through.
+//! Eligibility of leaves: one check that first attempts, hedges, retries and the parts of gathered
+//! answers all pass, independent of the cost of a leaf.
 
-/// Why a leaf may not be asked.
+/// Reason why a leaf may not be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exclusion {
-    /// The list of leaves says that it is leaving.
+    /// The directory lists the leaf as leaving.
     Leaving,
-    /// It runs in a region that the route does not allow.
+    /// The leaf runs in a region that the route does not allow.
     RegionNotAllowed,
-    /// Its zone is evacuated.
+    /// The zone of the leaf is evacuated.
     ZoneEvacuated,
-    /// A roll-out keeps the request from the version that it runs.
+    /// A rollout withholds the request from the software version of the leaf.
     VersionHeldBack,
-    /// Another leaf has its address: it has ended, and the list will say so.
+    /// Another leaf has the address: this leaf has ended, and the directory will remove it.
     AddressTaken,
-    /// It replied before, and has most likely ended; another one may have its address.
+    /// The leaf gives no sign of life and has most likely ended; another one may have its address.
     PresumedEnded,
-    /// It is cold, and this broker has sent what it may for now.
+    /// The leaf is cold, and the rate of this broker is used up for now.
     ColdRateSpent,
-    /// It is left out for its failures.
+    /// The leaf is ejected after consecutive failures.
     Ejected,
 }
 
 impl Exclusion {
-    /// Whether nothing that happens within the time of a request is likely to end it: to wait for
-    /// such a leaf only delays the refusal.
+    /// Whether the exclusion is unlikely to end within the lifetime of a request, so that waiting
+    /// only delays the refusal.
     pub fn is_lasting(self) -> bool {
         match self {
             Self::RegionNotAllowed
             | Self::ZoneEvacuated
             | Self::VersionHeldBack
             | Self::AddressTaken => true,
-            // The list may name a successor at any moment.
+            // The directory may list a successor at any moment.
             Self::Leaving | Self::PresumedEnded | Self::ColdRateSpent | Self::Ejected => false,
         }
     }
 
-    /// In one word, as logs and metrics say it.
+    /// Identifier in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
@@ -51,24 +51,24 @@
     }
 }
 
-/// Why no leaf of a service can be asked.
+/// Reason why no leaf of a service can be asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoLeafReason {
     /// No leaf of the service is listed.
     NoneListed,
-    /// Every leaf was asked for this request already.
+    /// Every leaf was already tried for this request.
     AllTried,
-    /// Every leaf that was not asked yet is excluded; this is the reason that may end first.
+    /// Every untried leaf is excluded; this is the exclusion that may end first.
     Excluded(Exclusion),
 }
 
 impl NoLeafReason {
-    /// Whether waiting is unlikely to help within the time of a request.
+    /// Whether waiting is unlikely to help within the lifetime of a request.
     pub fn is_lasting(self) -> bool {
         matches!(self, Self::Excluded(exclusion) if exclusion.is_lasting())
     }
 
-    /// In one word, as logs and metrics say it.
+    /// Identifier in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoneListed => "no_leaf_listed",
@@ -77,25 +77,25 @@
         }
     }
 
-    /// Of two reasons, the one that may end sooner.
+    /// The one of two reasons that may end sooner.
     fn sooner(self, other: Self) -> Self {
         if self.is_lasting() { other } else { self }
     }
 }
 
-/// Collects why the leaves of a service were left out.
+/// Collects the reasons why leaves of a service were excluded.
 #[derive(Debug, Default)]
 pub struct Exclusions {
     seen: Option<NoLeafReason>,
 }
 
 impl Exclusions {
-    /// A leaf was left out.
+    /// Adds the reason for one leaf.
     pub fn add(&mut self, reason: NoLeafReason) {
         self.seen = Some(self.seen.map_or(reason, |seen| seen.sooner(reason)));
     }
 
-    /// Why nobody was left.
+    /// The reason to report when no leaf is left.
     pub fn reason(self) -> NoLeafReason {
         self.seen.unwrap_or(NoLeafReason::NoneListed)
     }
--- a/crates/domain/src/forwarding/gathering.rs
+++ b/crates/domain/src/forwarding/gathering.rs
@@ -1,43 +1,45 @@
-//! When an answer that is merged from one part of each shard is complete enough.
+//! Decides when an answer merged from one part per shard is complete enough to be sent.
 
 use std::time::Duration;
 
 use crate::routes::PartsPerMillion;
 use crate::time::Timestamp;
 
-/// Share of the parts that tells how long the others may take: those of one request take alike.
-const MOST_PARTS: f64 = 0.6;
-/// Part of the time until most parts were in that the others may take longer.
+/// Share of parts whose arrival time predicts the rest: the parts of one request take similar
+/// times.
+const MOST_PARTS_SHARE: f64 = 0.6;
+/// Extra time for the other parts, relative to the time until most parts had arrived.
 const OVERDUE_FACTOR: f64 = 0.3;
-/// Time besides that the others may take longer.
-const OVERDUE_TIME: Duration = Duration::from_millis(6);
+/// Constant extra time for the other parts.
+const OVERDUE_OFFSET: Duration = Duration::from_millis(6);
 
-/// The times of one request.
+/// Points in time of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatherTimes {
-    /// When it was received.
+    /// Time of receipt.
     pub received: Timestamp,
-    /// When the answer leaves with the parts that are in, once they reach the least share.
+    /// Soft deadline: from here on the answer is sent as soon as the least share of parts has
+    /// arrived.
     pub soft: Timestamp,
-    /// When it has to be answered.
+    /// Hard deadline of the answer.
     pub deadline: Timestamp,
 }
 
-/// What is done next.
+/// Next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GatherStep {
-    /// Wait for a part until then.
+    /// Wait for another part until this moment.
     WaitUntil(Timestamp),
-    /// Nothing more is waited for.
+    /// Send what has arrived.
     Finish,
 }
 
-/// Which parts of one answer are in.
+/// Progress of one gathered answer.
 #[derive(Debug)]
 pub struct Gathering {
     whole: usize,
     present: usize,
-    /// Those that came before the soft time.
+    /// Parts that arrived before the soft deadline.
     present_in_time: usize,
     failed: usize,
     least_share: PartsPerMillion,
@@ -46,7 +48,7 @@
 }
 
 impl Gathering {
-    /// Nothing is in of `whole` parts.
+    /// Starts with none of `whole` parts present.
     pub fn new(whole: usize, least_share: PartsPerMillion, times: GatherTimes) -> Self {
         Self {
             whole,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// A part has come, or will not come.
+    /// Records that a part has arrived or, if `came` is false, that it has failed.
     pub fn record_part(&mut self, now: Timestamp, came: bool) {
         if !came {
             self.failed += 1;
@@ -67,13 +69,13 @@
         }
         self.present += 1;
         self.present_in_time += usize::from(now < self.times.soft);
-        if self.overdue_at.is_none() && self.most_are_in() {
+        if self.overdue_at.is_none() && self.most_are_present() {
             let taken = now.since(self.times.received);
-            self.overdue_at = Some(now.after(taken.mul_f64(OVERDUE_FACTOR) + OVERDUE_TIME));
+            self.overdue_at = Some(now.after(taken.mul_f64(OVERDUE_FACTOR) + OVERDUE_OFFSET));
         }
     }
 
-    /// What to do now.
+    /// Returns the next step.
     pub fn step(&self, now: Timestamp) -> GatherStep {
         let GatherTimes { soft, deadline, .. } = self.times;
         let settled = self.present + self.failed == self.whole || !self.can_reach();
@@ -85,35 +87,35 @@
         GatherStep::WaitUntil(overdue.map_or(wake, |at| at.min(wake)))
     }
 
-    /// Whether the parts that are missing take longer than those that are in tell.
+    /// Whether the missing parts take longer than the arrival of the others predicts.
     pub fn is_overdue(&self, now: Timestamp) -> bool {
         self.overdue_at.is_some_and(|at| now >= at)
     }
 
-    /// Whether the parts that are in are enough for an answer.
+    /// Whether the parts present suffice for an answer.
     pub fn reaches_least_share(&self) -> bool {
         self.present > 0 && self.least_share.reached_by(self.present, self.whole)
     }
 
-    /// How many more parts may be given up.
+    /// Number of further parts that may be given up without falling below the least share.
     pub fn spare(&self) -> usize {
         let left = self.whole - self.failed;
         let enough = |kept: &usize| *kept > 0 && self.least_share.reached_by(*kept, self.whole);
         (1..=left).find(enough).map_or(0, |least| left - least)
     }
 
-    /// Parts that are not in.
+    /// Number of parts that are not present.
     pub fn missing(&self) -> usize {
         self.whole - self.present
     }
 
-    /// Parts that came before the soft time, and all parts.
+    /// Parts that arrived before the soft deadline, and all parts.
     pub fn in_time(&self) -> (usize, usize) {
         (self.present_in_time, self.whole)
     }
 
-    fn most_are_in(&self) -> bool {
-        self.present as f64 >= self.whole as f64 * MOST_PARTS
+    fn most_are_present(&self) -> bool {
+        self.present as f64 >= self.whole as f64 * MOST_PARTS_SHARE
     }
 
     /// Whether the least share can still be reached.
--- a/crates/domain/src/forwarding/liveness.rs
+++ b/crates/domain/src/forwarding/liveness.rs
@@ -118,9 +118,9 @@
         LivenessStep::Probe
     }
 
-    /// Whether the leaf has most likely ended: its address refuses connections, or it has given no
-    /// sign of life for the address reuse time since a miss. A leaf that has never replied may not
-    /// listen yet and gets that time, too.
+    /// Whether the leaf has most likely ended: its address refuses connections, or after a miss it
+    /// has given no sign of life for so long that another leaf may have the address. A leaf that
+    /// has never replied may not listen yet and gets that time, too.
     pub(super) fn is_presumed_ended(&self, now: Timestamp, settings: &ReplicaSettings) -> bool {
         let Some(missed) = self.missed.filter(|missed| now.since(*missed) < settings.list_lag)
         else {
--- a/crates/domain/src/forwarding/load_report.rs
+++ b/crates/domain/src/forwarding/load_report.rs
@@ -1,44 +1,44 @@
-//! What a leaf says of its load on an answer. It is counted and logged; leaves are chosen by their own
-//! answers, because what a broker was told last is mostly out of date when it asks next.
+//! Load that leaves report with their answers. It is counted and logged but not used for selection,
+//! because the last report is mostly out of date when the next request is sent.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// What work takes on a machine that nothing else disturbs, in percent.
+/// Pace of a machine that nothing else disturbs, in percent.
 pub const NOMINAL_PACE_PERCENT: u32 = 100;
-/// Age after which a report says nothing any more: what else runs on the machine changes many times a
-/// second, and a queue of some requests is worked off by then.
-const REPORT_LIFE: Duration = Duration::from_millis(200);
+/// Age at which a report expires: the load of the machine changes many times per second, and a
+/// short queue is worked off by then.
+const REPORT_LIFETIME: Duration = Duration::from_millis(200);
 
-/// Load of a leaf when it answered.
+/// Load of a leaf at the time of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it worked on.
+    /// Requests in execution.
     pub running: u32,
-    /// Requests that waited.
+    /// Requests in the queue.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of requests executed at once.
     pub slots: u32,
-    /// How long work took on its machine, in percent of the usual.
+    /// Execution time of work in percent of that on an undisturbed machine.
     pub pace_percent: u32,
 }
 
-/// The newest report of a leaf, with its age.
+/// Latest report of a leaf with its time of arrival.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ObservedLoad {
-    newest: Option<(LoadReport, Timestamp)>,
+    latest: Option<(LoadReport, Timestamp)>,
 }
 
 impl ObservedLoad {
-    /// A report came with an answer.
+    /// Records a report that arrived with an answer.
     pub fn observe(&mut self, now: Timestamp, report: LoadReport) {
-        self.newest = Some((report, now));
+        self.latest = Some((report, now));
     }
 
-    /// The newest report, while it says something.
+    /// The latest report, until it expires.
     pub fn current(&self, now: Timestamp) -> Option<LoadReport> {
-        let fresh = |at: Timestamp| now.since(at) < REPORT_LIFE;
-        self.newest.filter(|(_, at)| fresh(*at)).map(|(report, _)| report)
+        let fresh = |at: Timestamp| now.since(at) < REPORT_LIFETIME;
+        self.latest.filter(|(_, at)| fresh(*at)).map(|(report, _)| report)
     }
 }
--- a/crates/domain/src/forwarding/planned_stop.rs
+++ b/crates/domain/src/forwarding/planned_stop.rs
@@ -1,25 +1,25 @@
-//! The times of a planned stop of a broker.
+//! Schedule of a planned stop of a broker.
 //!
-//! The process that stops a broker kills it after a while. Whatever the broker has read by then has
-//! its answer: requests that might not end in time are refused as not run, and those that are still
-//! in flight shortly before the end are answered with what is known of them.
+//! The supervisor kills the process after a fixed time. Every request that the broker has read by
+//! then gets its answer: requests that might not end in time are refused as not run, and those
+//! still in flight shortly before the end are answered with what is known of them.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Part of the stop for which idle connections of callers are kept.
+/// Share of the stop for which idle connections of callers are kept.
 const IDLE_SHARE: f64 = 0.4;
-/// Part of the stop in which new connections may still come, from those that do not know of it yet.
+/// Share of the stop in which connections may still arrive from callers that do not know of it yet.
 const CALLERS_SHARE: f64 = 0.6;
-/// Part of the stop after which everything in flight is answered.
+/// Share of the stop after which everything in flight is answered.
 const ANSWERS_SHARE: f64 = 0.86;
-/// Part of the stop after which the process ends in any case.
+/// Share of the stop after which the process exits in any case.
 const END_SHARE: f64 = 0.92;
-/// How many times its expected time a request may take that is taken on.
+/// Safety factor on the expected time of a request that is accepted.
 const LATE_FACTOR: u32 = 2;
 
-/// A planned stop that has begun.
+/// A planned stop in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedStop {
     began: Timestamp,
@@ -27,33 +27,33 @@
 }
 
 impl PlannedStop {
-    /// A stop that begins now and may take `length`.
+    /// Starts a stop that may take `length`.
     pub fn begin(now: Timestamp, length: Duration) -> Self {
         Self { began: now, length }
     }
 
-    /// Whether a request that comes now, and is expected to take so long, is taken on: it has to end
-    /// in time even where it takes longer than expected.
+    /// Whether a request that arrives now and is expected to take `expected` is accepted: it must
+    /// end in time even if it takes longer than expected.
     pub fn accepts(&self, now: Timestamp, expected: Duration) -> bool {
         now.after(expected * LATE_FACTOR) <= self.answers_by()
     }
 
-    /// Until when idle connections of callers are kept.
+    /// Time until which idle connections of callers are kept.
     pub fn idle_until(&self) -> Timestamp {
         self.share(IDLE_SHARE)
     }
 
-    /// Until when callers may come that do not know of the stop.
+    /// Time until which callers that do not know of the stop may connect.
     pub fn callers_until(&self) -> Timestamp {
         self.share(CALLERS_SHARE)
     }
 
-    /// When everything in flight is answered at the latest.
+    /// Latest time at which everything in flight is answered.
     pub fn answers_by(&self) -> Timestamp {
         self.share(ANSWERS_SHARE)
     }
 
-    /// When the process ends at the latest.
+    /// Latest time at which the process exits.
     pub fn ends_by(&self) -> Timestamp {
         self.share(END_SHARE)
     }
--- a/crates/domain/src/forwarding/replica.rs
+++ b/crates/domain/src/forwarding/replica.rs
@@ -18,7 +18,7 @@
 const LATENCY_SMOOTHING: f64 = 0.25;
 /// An answer slower than this multiple of the baseline latency does not clear suspicion.
 const SLOW_FACTOR: f64 = 3.0;
-/// Consecutive consecutive_failures after which a leaf is ejected.
+/// Number of failures in a row after which a leaf is ejected.
 const EJECTION_THRESHOLD: u32 = 2;
 /// Maximum number of doublings of the ejection time.
 const EJECTION_DOUBLINGS: u32 = 3;
@@ -144,7 +144,8 @@
         self.liveness.is_presumed_ended(now, settings)
     }
 
-    /// Whether the leaf is in service: not leaving, not presumed ended and not ejected.
+    /// Whether the leaf is in service: not leaving, not ejected, its address not taken, and not
+    /// presumed ended.
     pub(super) fn is_in_service(&self, now: Timestamp, settings: &ReplicaSettings) -> bool {
         let gone = self.leaving || self.address_taken || self.is_presumed_ended(now, settings);
         !gone && !self.is_ejected(now)
--- a/crates/domain/src/forwarding/replica_set.rs
+++ b/crates/domain/src/forwarding/replica_set.rs
@@ -174,7 +174,8 @@
         self.replicas.keys()
     }
 
-    /// Whether a leaf is known, not leaving, not presumed ended and not ejected.
+    /// Whether a leaf is known and in service: not leaving, not ejected, its address not taken, and
+    /// not presumed ended.
     pub fn is_in_service(
         &self,
         leaf: &LeafIdentity,
--- a/crates/domain/src/forwarding/split.rs
+++ b/crates/domain/src/forwarding/split.rs
@@ -1,29 +1,29 @@
-//! Choice of a service out of a weighted split.
+//! Weighted choice of a service from a split.
 //!
-//! Each broker walks round a circle on which every part has an arc as long as its weight, from a
-//! random start and by the golden ratio of the circle at a time. So each turn of a broker falls to each
-//! part with the probability of its weight, and the turns of one broker are spread as evenly as can be:
-//! shares are right for many brokers with a request each as well as for one with many. Taking the part
-//! that has earned most gave a part of a tenth nothing of the first two requests of each broker.
+//! Each broker walks around a circle on which every part has an arc proportional to its weight,
+//! from a random start and in steps of the golden ratio. Every draw falls on each part with the
+//! probability of its weight, and the draws of one broker are spread evenly: the shares are right
+//! for many brokers with one request each as well as for one broker with many. Taking the part with
+//! the largest deficit would give a part of a tenth none of the first two requests of each broker.
 
 use crate::routes::WeightedService;
 
-/// The golden ratio of the circle, whose whole is 2 to the 64th.
+/// Golden ratio of the circle, whose circumference is 2^64.
 const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Where a broker stands on the circle.
+/// Position of a broker on the circle.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SplitSequence {
     position: u64,
 }
 
 impl SplitSequence {
-    /// Turns that begin at another place for each `start`.
+    /// A sequence that begins at `start`.
     pub fn starting_at(start: u64) -> Self {
         Self { position: start }
     }
 
-    /// The part whose turn it is; none when no part has a weight.
+    /// The next part of the sequence, `None` if no part has a weight.
     pub fn next<'parts>(
         &mut self,
         parts: &'parts [WeightedService],
