--- a/crates/domain/src/leaf_warnings/mod.rs
+++ b/crates/domain/src/leaf_warnings/mod.rs
@@ -1,12 +1,15 @@
-//! What brokers tell each other of slow, failing and refusing leaves, by way of the control processes that feed them.
+//! Outlier detection across brokers: warnings about slow, failing and refusing leaves, distributed
+//! by the control processes.
 //!
-//! One of hundreds of brokers asks a given leaf every few seconds: too seldom to notice that it has
-//! become slow, loses answers or refuses work, before it has recovered. All of them together ask it many times a second.
-//! So each broker reports the leaves that were slow, failed or refused in its requests, its control process folds the
-//! reports of many brokers into warnings, tells the other control processes, and every broker asks other leaves first
-//! for as long as a warning lasts. The state is soft: nothing of it is replicated or kept on disk, and
-//! without control each broker goes on by what it sees itself.
-//! Why so, and what else was weighed: `docs/design/leaf-warnings.md`.
+//! One of hundreds of brokers asks a given leaf only every few seconds, too seldom to notice that
+//! it has become slow, loses answers or refuses work before it has recovered. All of them together
+//! ask it many times a second. Each broker therefore reports the leaves that were slow, failed or
+//! refused in its requests. Its control process aggregates the reports of many brokers into
+//! warnings and shares them with the other control processes, and every broker deprioritizes a leaf
+//! for as long as a warning lasts. The state is soft: it is neither replicated nor stored, and
+//! without a control process each broker relies on its own observations.
+//!
+//! `docs/design/leaf-warnings.md` gives the reasons and the alternatives.
 
 mod aggregator;
 mod observation_log;
@@ -18,52 +21,53 @@
 pub use aggregator::WarningAggregator;
 pub use observation_log::ObservationLog;
 
-/// What one broker saw of a leaf that was slow or failed.
+/// Observations of one broker about a leaf that was slow, failed or refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafObservation {
-    /// The leaf.
+    /// Identity of the observed leaf.
     pub leaf: LeafIdentity,
-    /// How long ago the requests began in which it was slow, in milliseconds.
+    /// Age in milliseconds of the requests in which the leaf was slow, since their start.
     pub slow_ms_ago: Vec<u32>,
-    /// How long ago the requests began whose answers it failed to give, in milliseconds.
+    /// Age in milliseconds of the requests whose answers it failed to give, since their start.
     pub failed_ms_ago: Vec<u32>,
-    /// How long ago the requests began that it refused to run, in milliseconds.
+    /// Age in milliseconds of the requests that it refused to run, since their start.
     pub refused_ms_ago: Vec<u32>,
-    /// In how many requests of the last seconds it did none of these.
+    /// Number of requests of the last seconds without any of these.
     pub sound: u32,
 }
 
-/// How a leaf did in one request.
+/// Outcome of one request at a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservedOutcome {
-    /// It answered about as soon as the leaves of the other shards.
+    /// The leaf answered about as fast as those of the other shards.
     Sound,
-    /// It took far longer than they did.
+    /// The leaf took far longer than those of the other shards.
     Slow,
-    /// It took the request and gave no usable answer.
+    /// The leaf accepted the request and gave no usable answer.
     Failed,
-    /// It said that it does not run the request.
+    /// The leaf refused to run the request.
     Refused,
 }
 
-/// Why leaves are warned of.
+/// Cause of a warning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WarningCause {
-    /// It is slow. An ordinary answer to a broker shows it that the leaf has recovered.
+    /// The leaf is slow. An answer at normal latency shows a broker that it has recovered.
     Slow,
-    /// It loses a part of its answers. That it gives others shows nothing.
+    /// The leaf loses a part of its answers; other answers do not show that it has recovered.
     Failing,
-    /// It refuses a part of what it is asked. That it takes others shows nothing.
+    /// The leaf refuses a part of its requests; accepted requests do not show that it has
+    /// recovered.
     Refusing,
 }
 
-/// A leaf that is not to be asked first.
+/// A leaf that is to be deprioritized.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafWarning {
-    /// The leaf.
+    /// Identity of the leaf.
     pub leaf: LeafIdentity,
-    /// Why.
+    /// Cause of the warning.
     pub cause: WarningCause,
-    /// For how many milliseconds from now.
+    /// Remaining time in milliseconds.
     pub for_ms: u32,
 }
