--- a/crates/domain/tests/cold_leaves.rs
+++ b/crates/domain/tests/cold_leaves.rs
@@ -1,4 +1,4 @@
-//! What all brokers together send to a cold leaf.
+//! Rate of requests of all brokers together to a cold leaf.
 
 use std::time::Duration;
 
@@ -11,9 +11,10 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Zones over which the brokers are spread; the leaf is in the first, and two make a region.
+/// Number of zones over which the brokers are spread; the leaf is in the first, and two zones form
+/// a region.
 const ZONES: usize = 6;
-/// A process that has run for long.
+/// Age of a long-running process.
 const OLD: Duration = Duration::from_secs(60);
 
 fn brokers(count: usize) -> Vec<KnownBroker> {
@@ -53,8 +54,8 @@
     ColdShare::of(start, &leaf(), &broker.entry.name, OLD, known, distance)
 }
 
-/// Moments at which brokers send that always have a request for the leaf; each knows the brokers of its
-/// list.
+/// Times in milliseconds at which brokers send if they always have a request for the leaf; each
+/// broker knows the brokers of its own list.
 fn sends(start: ColdStart, known: &[Vec<KnownBroker>], all: &[KnownBroker]) -> Vec<u64> {
     let mut sends = Vec::new();
     for (broker, known) in all.iter().zip(known) {
@@ -72,13 +73,13 @@
     sends
 }
 
-/// Most sends within any second.
+/// Maximum number of requests within any second.
 fn most_within_a_second(sends: &[u64]) -> usize {
     let until = |from: &u64| sends.partition_point(|time| *time <= from + 1_000);
     sends.iter().enumerate().map(|(index, from)| until(from) - index).max().unwrap_or(0)
 }
 
-/// Sends a second of all brokers, over the whole time.
+/// Mean rate per second of all brokers.
 fn rate(sends: &[u64]) -> f64 {
     sends.len() as f64 / 20.0
 }
@@ -100,8 +101,8 @@
     assert!(rate(&sends) >= per_second * 0.9, "{} a second of {per_second}", rate(&sends));
 }
 
-/// The other ways of sharing, at the same counts: equal shares of whole requests leave most brokers
-/// without any and use nothing; equal shares that round up exceed the rate.
+/// Alternatives at the same counts: equal shares of whole requests leave most brokers without any
+/// and use nothing; shares rounded up exceed the rate.
 #[rstest]
 #[case(61)]
 #[case(300)]
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn leaves_share_out_the_work_among_the_brokers() {
+fn different_leaves_are_assigned_to_different_brokers() {
     let all = brokers(61);
     let chosen_for = |leaf: usize| {
         let leaf = LeafIdentity::new(format!("leaf-{leaf}"));
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn who_does_not_know_the_brokers_or_has_just_started_sends_nothing() {
+fn a_broker_without_a_list_or_just_started_sends_nothing() {
     let all = brokers(3);
     let own = &all[0].entry.name;
     let share =
@@ -165,7 +166,7 @@
 }
 
 proptest! {
-    /// Lists of brokers differ while brokers come: the sum stays within half as much again and five.
+    /// While brokers join, their lists differ: the total stays within 1.5 times the rate plus five.
     #[test]
     fn lists_that_differ_by_a_few_brokers_exceed_the_rate_by_little(
         count in 2usize..80,
--- a/crates/domain/tests/connection_allowance.rs
+++ b/crates/domain/tests/connection_allowance.rs
@@ -1,10 +1,10 @@
-//! What a leaf is observed to accept.
+//! Adaptation of the connection allowance to what a leaf accepts.
 
 use gingerkeel_domain::forwarding::ConnectionAllowance;
 use rstest::rstest;
 
-/// Opens as many as are allowed to a leaf that accepts `accepts`, again and again, and closes all
-/// of them in between; gives the most that were refused in one go.
+/// Repeatedly opens as many connections as allowed to a leaf that accepts `accepts`, closing all in
+/// between; returns the most refusals in one round.
 fn most_refused(accepts: usize, rounds: usize) -> (usize, ConnectionAllowance) {
     let mut allowance = ConnectionAllowance::default();
     let mut most = 0;
@@ -29,14 +29,14 @@
 #[case(1)]
 #[case(3)]
 #[case(40)]
-fn what_a_leaf_accepts_is_found_with_one_refusal_at_a_time(#[case] accepts: usize) {
+fn the_limit_of_a_leaf_is_found_with_one_refusal_per_round(#[case] accepts: usize) {
     let (most, allowance) = most_refused(accepts, 100);
     assert!(most <= 1);
     assert!(allowance.allowed() >= 1 && allowance.allowed() <= accepts + 1, "{allowance:?}");
 }
 
 #[test]
-fn a_refusal_takes_back_half_and_what_is_open_is_kept() {
+fn a_refusal_halves_the_allowance() {
     let mut allowance = ConnectionAllowance::default();
     (1..=10).for_each(|open| allowance.accepted(open));
     assert_eq!(allowance.allowed(), 11);
--- a/crates/domain/tests/connection_plan.rs
+++ b/crates/domain/tests/connection_plan.rs
@@ -1,4 +1,4 @@
-//! Which connections brokers open to the leaves of a service, and how they add up.
+//! Plans of open connections to the leaves of a service, and their sum over all brokers.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     ZoneName::new(format!("z{number}"))
 }
 
-/// So many brokers in each zone, by name.
+/// Brokers with their zones, `counts` per zone.
 fn brokers(counts: &[usize]) -> Vec<(ZoneName, BrokerName)> {
     let of_zone = |(number, count): (usize, &usize)| {
         (0..*count)
@@ -25,7 +25,7 @@
     counts.iter().enumerate().flat_map(of_zone).collect()
 }
 
-/// A leaf in each of these zones.
+/// One leaf in each of the given zones.
 fn leaves(zones: &[usize]) -> Vec<(LeafIdentity, ZoneName)> {
     let leaf =
         |(index, number): (usize, &usize)| (LeafIdentity::new(format!("l{index}")), zone(*number));
@@ -44,12 +44,13 @@
 }
 
 #[test]
-fn the_nearest_leaf_and_the_one_to_turn_to_are_kept_ready() {
+fn the_primary_and_the_standby_are_kept_ready() {
     let plans = plans(&[10, 10, 10, 10, 10, 11], &[0, 1, 2], 62);
     let ready: Vec<Vec<&str>> =
         plans.iter().map(|plan| plan.ready().iter().map(LeafIdentity::as_str).collect()).collect();
     assert!(ready.iter().all(|ready| ready.len() == 2));
-    // Zones 0 and 3 are in the region of the first leaf; half of their brokers turn to each other one.
+    // Zones 0 and 3 are in the region of the first leaf; each other leaf is the standby of half of
+    // their brokers.
     let of_region: Vec<_> = ready
         .iter()
         .enumerate()
@@ -59,7 +60,8 @@
     assert_eq!(of_region.iter().filter(|(_, ready)| ready[1] == "l1").count(), 10);
 }
 
-/// A leaf that accepts 41 has room for the twenty that are near and the twenty or so that turn to it.
+/// A leaf that accepts 41 has room for the twenty brokers with it as primary and about twenty with
+/// it as standby.
 #[rstest]
 #[case::enough(41, 2)]
 #[case::too_few(36, 0)]
@@ -86,10 +88,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// The connections that are kept ready add up to no more than a leaf accepts, at any number of
-    /// brokers and over zones without leaves.
+    /// The planned connections add up to no more than a leaf accepts, for any number of brokers and
+    /// with zones without leaves.
     #[test]
-    fn what_is_kept_ready_adds_up(
+    fn plans_add_up_to_no_more_than_a_leaf_accepts(
         counts in prop::collection::vec(0usize..70, 6),
         leaf_zones in prop::collection::vec(0usize..6, 1..7),
         accepted in 10usize..2_000,
--- a/crates/domain/tests/delivery.rs
+++ b/crates/domain/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! How much earlier an answer is finished for the time that it takes to leave.
+//! Margin by which an answer is finished early to allow for its delivery.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// When an answer is finished, in milliseconds, after answers that took so many.
+/// Soft deadline in milliseconds after answers with these delivery times.
 fn finished_at(took_ms: &[u64]) -> u64 {
     let mut delivery = DeliveryTime::default();
     took_ms.iter().for_each(|took| delivery.observe(Duration::from_millis(*took)));
@@ -29,12 +29,15 @@
 #[case::the_first_counts_twice(&[4], 97)]
 #[case::slow(&[20], 65)]
 #[case::no_more_than_the_most(&[500, 500], 60)]
-fn an_answer_is_finished_earlier_by_what_answers_take(#[case] took: &[u64], #[case] at: u64) {
+fn an_answer_is_finished_earlier_by_the_expected_delivery_time(
+    #[case] took: &[u64],
+    #[case] at: u64,
+) {
     assert_eq!(finished_at(took), at);
 }
 
 #[test]
-fn steady_times_leave_no_room_for_deviation() {
+fn steady_delivery_times_have_no_deviation() {
     assert_eq!(finished_at(&[10; 100]), 95);
 }
 
@@ -46,7 +49,7 @@
 }
 
 #[test]
-fn a_target_shorter_than_the_margin_is_met_at_once() {
+fn a_target_shorter_than_the_margin_finishes_at_once() {
     let delivery = DeliveryTime::default();
     let received = Timestamp::from_micros(5_000_000);
     assert_eq!(margin().soft_deadline(received, Duration::from_millis(10), &delivery), received);
--- a/crates/domain/tests/execution.rs
+++ b/crates/domain/tests/execution.rs
@@ -1,16 +1,16 @@
-//! What a caller without an answer is told of whether its request has run.
+//! Whether a caller without an answer is told that its request has not run.
 
 use gingerkeel_domain::forwarding::{AttemptError, ExecutionEvidence, RequestFailure};
 use rstest::rstest;
 
-/// What happens to the attempts at one request.
+/// Event in the attempts at one request.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// One is sent to a leaf.
+    /// An attempt is sent to a leaf.
     Sent,
-    /// One ends with a reply of this status.
+    /// An attempt ends with a reply of this status.
     Replied(u16),
-    /// One ends without a reply.
+    /// An attempt ends without a reply.
     Failed(AttemptError),
 }
 
@@ -18,7 +18,7 @@
 use Event::{Failed, Replied, Sent};
 use RequestFailure::{NoAnswer, NotRun};
 
-/// Attempts of a request to one leaf or to many shards that gets no answer.
+/// Attempts of a request to one leaf or to many shards, none of which leads to an answer.
 #[rstest]
 #[case::nothing_sent(&[], NotRun)]
 #[case::rejected(&[Sent, Failed(Rejected)], NotRun)]
--- a/crates/domain/tests/extra_load.rs
+++ b/crates/domain/tests/extra_load.rs
@@ -1,4 +1,4 @@
-//! The budget of extra requests at one broker.
+//! Extra-load budget at one broker.
 
 use std::time::Duration;
 
@@ -18,22 +18,25 @@
     (0..100).filter(|_| budget.take(share, at(now))).count()
 }
 
-/// The process before may have spent the slack within the window.
+/// A predecessor of the process may have spent the slack within the window.
 #[rstest]
 #[case::a_new_process(0, 0)]
 #[case::almost_a_window_old(9_999, 0)]
 #[case::a_window_old(10_000, 4)]
-fn the_slack_is_there_once_the_process_is_a_window_old(#[case] now: u64, #[case] expected: usize) {
+fn the_slack_is_available_once_the_process_is_a_window_old(
+    #[case] now: u64,
+    #[case] expected: usize,
+) {
     let share = ExtraLoadShare::of(&SETTINGS, 3);
     assert_eq!(taken(&mut ExtraLoadBudget::default(), &share, now), expected);
 }
 
-/// A broker's part of the slack is saved up, and no more however many requests come.
+/// A broker saves up its share of the slack, and no more however many requests arrive.
 #[rstest]
 #[case::alone(1, 12)]
 #[case::one_of_three(3, 4)]
 #[case::one_of_many(100, 1)]
-#[case::nobody_has_told_how_many_there_are(0, 1)]
+#[case::unknown_number_of_brokers(0, 1)]
 fn the_slack_is_saved_up(#[case] brokers: usize, #[case] saved: usize) {
     let share = ExtraLoadShare::of(&SETTINGS, brokers);
     let mut budget = ExtraLoadBudget::default();
@@ -42,7 +45,7 @@
 }
 
 #[test]
-fn five_requests_earn_an_extra_one() {
+fn five_requests_earn_one_extra_request() {
     let share = ExtraLoadShare::of(&SETTINGS, 3);
     let mut budget = ExtraLoadBudget::default();
     for _ in 0..3 {
@@ -53,12 +56,12 @@
     }
 }
 
-/// The slack is whole again a window after the last extra request, not before.
+/// The slack is fully available a window after the last extra request, not before.
 #[rstest]
 #[case::at_once(10_000, 0)]
 #[case::within_the_window(19_999, 0)]
 #[case::a_window_later(20_000, 4)]
-fn a_broker_that_has_rested_has_its_slack(#[case] now: u64, #[case] expected: usize) {
+fn an_idle_broker_regains_its_slack(#[case] now: u64, #[case] expected: usize) {
     let share = ExtraLoadShare::of(&SETTINGS, 3);
     let mut budget = ExtraLoadBudget::default();
     budget.earn(&share, at(0));
@@ -67,8 +70,8 @@
 }
 
 proptest! {
-    /// However requests and extra ones come, no window holds more extra requests than the ratio of the requests
-    /// of that window, and the slack.
+    /// For any sequence of requests, no window holds more extra requests than the ratio of the
+    /// requests in it plus the slack.
     #[test]
     fn no_window_holds_more_extra_requests_than_allowed(
         steps in prop::collection::vec((0u64..400, 0u8..4), 1..400),
--- a/crates/domain/tests/forwarding.rs
+++ b/crates/domain/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding: choice of leaves, merging and splits.
+//! Selection of leaves, connection shares, merging and weighted splits.
 
 use rand_core::RngCore;
 use rand_pcg::Pcg64;
@@ -36,7 +36,7 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-/// One leaf in the own zone, two far away.
+/// One leaf in the zone of the broker, two far away.
 fn three_leaves() -> ReplicaSet {
     let mut set = ReplicaSet::default();
     set.list(at(0), &leaf("near"), Distance::Zone);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_connection_to_a_sound_leaf_is_waited_for_rather_than_a_late_one_asked() {
+fn waiting_for_a_healthy_leaf_is_preferred_to_asking_a_late_one() {
     let mut set = three_leaves();
     set.begin(&identity("far-1"));
     set.mark_late(at(0), &ReplicaSettings::default(), &identity("far-1"));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_sound_leaf_that_has_a_connection_is_not_passed_over_for_a_late_one_without() {
+fn a_healthy_leaf_with_a_connection_is_preferred_to_a_late_one_without() {
     let mut set = three_leaves();
     set.begin(&identity("near"));
     set.mark_late(at(0), &ReplicaSettings::default(), &identity("near"));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_leaf_that_owes_an_answer_is_asked_last_until_one_comes() {
+fn a_late_leaf_is_deprioritized_until_it_answers() {
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     set.begin(&identity("near"));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_late_leaf_is_tried_by_one_request_once_its_time_is_over() {
+fn a_late_leaf_is_probed_by_one_request_after_its_suspicion() {
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     set.begin(&identity("near"));
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_leaf_that_stays_slow_is_tried_ever_more_rarely() {
+fn a_leaf_that_stays_slow_is_probed_ever_more_rarely() {
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     (0..100).for_each(|_| answered(&mut set, at(0), "far-1", 20));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_failing_leaf_is_left_out_and_comes_back() {
+fn a_failing_leaf_is_ejected_and_comes_back() {
     let settings = ReplicaSettings::default();
     let mut set = ReplicaSet::default();
     set.list(at(0), &leaf("only"), Distance::Zone);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_slow_leaf_loses_its_nearness_and_wins_it_back() {
+fn a_slow_near_leaf_loses_its_preference_and_regains_it() {
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     for _ in 0..20 {
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn attempts_that_were_given_up_tell_that_a_leaf_is_slow() {
+fn abandoned_attempts_show_that_a_leaf_is_slow() {
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     for _ in 0..8 {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn attempts_that_were_given_up_early_tell_nothing() {
+fn attempts_abandoned_early_are_no_samples() {
     let settings = ReplicaSettings::default();
     let mut set = three_leaves();
     for _ in 0..20 {
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn leaves_that_are_gone_are_forgotten() {
+fn unlisted_leaves_are_removed() {
     let mut set = three_leaves();
     set.retain(|leaf| leaf == &identity("far-2"));
     assert_eq!(chosen(&set, at(0), &[]).as_deref(), Some("far-2"));
@@ -271,10 +271,10 @@
 }
 
 proptest! {
-    /// The shares of all brokers add up to no more than a leaf accepts, when it accepts enough for
-    /// everybody's least share.
+    /// The shares of all brokers add up to no more than a leaf accepts, if it accepts enough for
+    /// the minimum shares.
     #[test]
-    fn connections_are_shared_out(
+    fn connection_shares_add_up(
         in_zone in 0usize..20,
         elsewhere in 0usize..80,
         accepted in 1usize..500,
@@ -287,7 +287,7 @@
         if accepted >= weights {
             let given = near * in_zone + far * elsewhere;
             prop_assert!(given <= accepted);
-            // Nothing is left that would be enough for one more each.
+            // The remainder does not suffice for one more connection per broker.
             let groups = in_zone.max(elsewhere);
             prop_assert!(groups == 0 || accepted - given < groups);
         }
@@ -348,7 +348,7 @@
     assert_eq!(merged.into_bytes(), vec![7; 48]);
 }
 
-/// Leaves of other regions than the one of `near` are not allowed.
+/// Only the region of `near` is allowed.
 fn only_near(leaf: &LeafIdentity) -> Result<Connectivity, Exclusion> {
     match leaf.as_str() {
         "near" => Ok(Connectivity::Idle),
@@ -357,18 +357,18 @@
 }
 
 #[test]
-fn a_leaf_that_may_not_be_asked_is_not_chosen_even_as_the_last() {
+fn an_excluded_leaf_is_not_selected_even_as_the_last() {
     let set = three_leaves();
     let choose = |tried: &[LeafIdentity]| {
         set.choose(at(0), &ReplicaSettings::default(), tried, only_near, || 0.0)
     };
     assert_eq!(asked(&choose(&[])).as_deref(), Some("near"));
-    // The near leaf was tried: the others stay excluded, and it may be asked again later.
+    // The near leaf was tried and may be asked again later; the others stay excluded.
     assert_eq!(choose(&[identity("near")]), Selection::NoLeaf(NoLeafReason::AllTried));
 }
 
 #[test]
-fn why_nobody_can_be_asked_names_what_may_end_first() {
+fn the_reason_for_no_leaf_is_the_one_that_may_end_first() {
     let mut set = ReplicaSet::default();
     let choose = |set: &ReplicaSet, reach: fn(&LeafIdentity) -> Result<Connectivity, Exclusion>| {
         set.choose(at(0), &ReplicaSettings::default(), &[], reach, || 0.0)
@@ -389,10 +389,10 @@
     assert!(!reason.is_lasting());
 }
 
-/// A leaf at whose address another one answers has ended; it is not asked again, and not waited for,
-/// until the list names another address.
+/// A leaf has ended if another one answers at its address; it is neither asked nor waited for until
+/// the directory lists another address.
 #[test]
-fn a_leaf_whose_address_another_one_has_is_left_out_until_the_list_says_otherwise() {
+fn a_leaf_whose_address_is_taken_is_excluded_until_it_is_listed_elsewhere() {
     let mut set = ReplicaSet::default();
     set.list(at(0), &leaf("gone"), Distance::Zone);
     set.begin(&identity("gone"));
@@ -410,8 +410,8 @@
     assert_eq!(chosen(&set, at(60_000), &[]).as_deref(), Some("gone"));
 }
 
-/// 300 brokers with a few requests each, as when a split has just been changed: each part's share of
-/// all requests is near its weight's, from the first request on.
+/// 300 brokers with a few requests each, as right after a change of the split: the share of each
+/// part is close to its weight from the first request on.
 #[rstest]
 fn a_split_over_many_brokers_with_few_requests_each_follows_the_weights(
     #[values(&[1, 1], &[9, 1], &[5, 3, 2], &[97, 2, 1], &[1, 0, 3])] weights: &[u64],
--- a/crates/domain/tests/leaf_warnings.rs
+++ b/crates/domain/tests/leaf_warnings.rs
@@ -1,4 +1,4 @@
-//! Which leaves brokers warn each other of.
+//! Warnings of slow, failing and refusing leaves, and their effect on selection.
 
 use std::time::Duration;
 
@@ -37,18 +37,18 @@
     LeafWarning { leaf: leaf("x"), cause: WarningCause::Slow, for_ms }
 }
 
-/// The warnings after these reports of one leaf: when, by which broker, what.
+/// The warnings that follow from reports on one leaf, given as time, broker and observation.
 fn warnings(
-    fold: &mut WarningAggregator,
+    aggregator: &mut WarningAggregator,
     reports: &[(u64, &str, LeafObservation)],
 ) -> Vec<LeafWarning> {
     let report = |(now, broker, seen): &(u64, &str, LeafObservation)| {
-        fold.report(at(*now), &BrokerName::new(broker), std::slice::from_ref(seen))
+        aggregator.report(at(*now), &BrokerName::new(broker), std::slice::from_ref(seen))
     };
     reports.iter().flat_map(report).collect()
 }
 
-/// Reports that make a leaf slow: two brokers, three requests within 700 ms.
+/// Reports that make a leaf count as slow: two brokers, three requests within 700 ms.
 fn slow_leaf(now: u64) -> [(u64, &'static str, LeafObservation); 2] {
     [(now, "b1", slow("x", &[700, 300], 0)), (now, "b2", slow("x", &[0], 0))]
 }
@@ -76,50 +76,50 @@
 
 #[test]
 fn a_broker_that_reports_again_does_not_count_its_sound_answers_twice() {
-    let mut fold = WarningAggregator::default();
+    let mut aggregator = WarningAggregator::default();
     let reports = [
         (10_000, "b1", slow("x", &[0], 2)),
         (10_250, "b1", slow("x", &[0], 2)),
         (10_700, "b2", slow("x", &[0], 0)),
     ];
-    assert_eq!(warnings(&mut fold, &reports).len(), 1);
+    assert_eq!(warnings(&mut aggregator, &reports).len(), 1);
 }
 
 #[test]
 fn a_warning_is_not_repeated_while_it_lasts() {
-    let mut fold = WarningAggregator::default();
-    warnings(&mut fold, &slow_leaf(10_000));
-    assert_eq!(warnings(&mut fold, &slow_leaf(10_900)), []);
+    let mut aggregator = WarningAggregator::default();
+    warnings(&mut aggregator, &slow_leaf(10_000));
+    assert_eq!(warnings(&mut aggregator, &slow_leaf(10_900)), []);
 }
 
 #[test]
 fn a_leaf_that_is_slow_again_is_warned_of_at_once_and_for_longer() {
-    let mut fold = WarningAggregator::default();
-    warnings(&mut fold, &slow_leaf(10_000));
-    let again = |fold: &mut WarningAggregator, now| {
-        let warned = warnings(fold, &[(now, "b3", slow("x", &[0], 0))]);
+    let mut aggregator = WarningAggregator::default();
+    warnings(&mut aggregator, &slow_leaf(10_000));
+    let again = |aggregator: &mut WarningAggregator, now| {
+        let warned = warnings(aggregator, &[(now, "b3", slow("x", &[0], 0))]);
         warned.first().map(|warning| warning.for_ms)
     };
-    assert_eq!(again(&mut fold, 11_100), Some(2_000));
-    assert_eq!(again(&mut fold, 13_200), Some(4_000));
-    assert_eq!(again(&mut fold, 17_300), Some(4_000), "the longest");
-    assert_eq!(again(&mut fold, 23_400), None, "it had time to show that it is sound");
+    assert_eq!(again(&mut aggregator, 11_100), Some(2_000));
+    assert_eq!(again(&mut aggregator, 13_200), Some(4_000));
+    assert_eq!(again(&mut aggregator, 17_300), Some(4_000), "the longest");
+    assert_eq!(again(&mut aggregator, 23_400), None, "it had time to show that it is sound");
 }
 
 #[test]
 fn requests_of_before_the_end_of_a_warning_do_not_renew_it() {
-    let mut fold = WarningAggregator::default();
-    warnings(&mut fold, &slow_leaf(10_000));
-    assert_eq!(warnings(&mut fold, &[(11_100, "b3", slow("x", &[200], 0))]), []);
+    let mut aggregator = WarningAggregator::default();
+    warnings(&mut aggregator, &slow_leaf(10_000));
+    assert_eq!(warnings(&mut aggregator, &[(11_100, "b3", slow("x", &[200], 0))]), []);
 }
 
 #[test]
-fn a_broker_that_comes_is_told_what_lasts() {
-    let mut fold = WarningAggregator::default();
-    warnings(&mut fold, &slow_leaf(10_000));
-    let current = fold.current(at(10_400));
+fn a_new_broker_is_told_the_current_warnings() {
+    let mut aggregator = WarningAggregator::default();
+    warnings(&mut aggregator, &slow_leaf(10_000));
+    let current = aggregator.current(at(10_400));
     assert_eq!(current, [slowness(600)]);
-    assert_eq!(fold.current(at(11_000)), []);
+    assert_eq!(aggregator.current(at(11_000)), []);
 }
 
 #[test]
@@ -155,7 +155,7 @@
     assert_eq!(log.take(at(1_000)).len(), 64, "the others come next");
 }
 
-/// Two leaves of a service, the first one near and the second one far.
+/// A near and a far leaf of one service.
 fn near_and_far() -> ReplicaSet {
     let mut set = ReplicaSet::default();
     for (name, distance) in [("near", Distance::Zone), ("far", Distance::Far)] {
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_leaf_is_asked_last_while_a_warning_lasts() {
+fn a_leaf_is_deprioritized_while_a_warning_lasts() {
     let mut set = near_and_far();
     set.warn(at(0), &leaf("near"), WarningCause::Slow, at(2_000));
     assert_eq!(chosen(&set, 1_000), "far");
@@ -201,10 +201,7 @@
 #[rstest]
 #[case::as_ever(30, "near")]
 #[case::too_late(300, "far")]
-fn what_a_broker_sees_itself_goes_before_what_others_say(
-    #[case] took_ms: u64,
-    #[case] expected: &str,
-) {
+fn own_observations_override_warnings_of_slowness(#[case] took_ms: u64, #[case] expected: &str) {
     let mut set = near_and_far();
     set.warn(at(0), &leaf("near"), WarningCause::Slow, at(4_000));
     set.begin(&leaf("near"));
@@ -218,13 +215,13 @@
     LeafObservation { failed_ms_ago, ..slow(name, &[], sound) }
 }
 
-/// What is told of leaf x after these reports of it, each by another broker.
+/// Causes of the warnings of leaf x after reports of different brokers.
 fn causes(reports: &[LeafObservation]) -> Vec<WarningCause> {
-    let mut fold = WarningAggregator::default();
+    let mut aggregator = WarningAggregator::default();
     let names = ["b1", "b2", "b3", "b4"];
     let reports: Vec<_> = names.into_iter().zip(reports).collect();
     let warned = reports.into_iter().flat_map(|(broker, seen)| {
-        fold.report(at(10_000), &BrokerName::new(broker), std::slice::from_ref(seen))
+        aggregator.report(at(10_000), &BrokerName::new(broker), std::slice::from_ref(seen))
     });
     warned.map(|warning| warning.cause).collect()
 }
@@ -246,12 +243,12 @@
 
 #[test]
 fn a_failing_leaf_that_fails_again_is_warned_of_for_longer() {
-    let mut fold = WarningAggregator::default();
+    let mut aggregator = WarningAggregator::default();
     let first = [(10_000, "b1", failed("x", &[10, 20], 0)), (10_000, "b2", failed("x", &[30], 0))];
-    assert_eq!(warnings(&mut fold, &first)[0].for_ms, 1_000);
-    let slow_again = warnings(&mut fold, &[(11_050, "b3", slow("x", &[0], 0))]);
+    assert_eq!(warnings(&mut aggregator, &first)[0].for_ms, 1_000);
+    let slow_again = warnings(&mut aggregator, &[(11_050, "b3", slow("x", &[0], 0))]);
     assert_eq!(slow_again, [], "that it is slow in one request says nothing of its answers");
-    let again = warnings(&mut fold, &[(11_100, "b3", failed("x", &[0], 5))]);
+    let again = warnings(&mut aggregator, &[(11_100, "b3", failed("x", &[0], 5))]);
     assert_eq!(again[0].for_ms, 2_000);
 }
 
@@ -266,8 +263,9 @@
     assert_eq!(chosen(&set, 4_000), "near");
 }
 
-/// A hundred brokers that each send one request a second to 36 shards of three leaves, of which every second
-/// leaf loses 2 of 5 answers: how many of the requests of four seconds get 35 parts, with two tries each.
+/// A hundred brokers each send one request per second to 36 shards of three leaves, and every
+/// second leaf loses 2 of 5 answers. Checks the share of the requests of four seconds that get 35
+/// parts with two attempts each.
 #[rstest]
 #[case::by_what_each_sees_itself(false)]
 #[case::with_warnings(true)]
@@ -290,7 +288,7 @@
     const BROKERS: u64 = 100;
     const SHARDS: usize = 36;
     const SECONDS: u64 = 4;
-    /// Time until a report has come and its warning is at the brokers.
+    /// Time until a warning that follows from a report has reached the brokers.
     const DELAY_MS: u64 = 250;
 
     struct Broker {
@@ -333,7 +331,7 @@
         Broker { name, shards: shards.collect(), log: ObservationLog::default() }
     }
 
-    /// Whether 35 parts of one request came.
+    /// Sends one request; returns whether 35 parts arrived.
     fn request(broker: &mut Broker, now: u64, draw: &mut impl FnMut() -> f64) -> bool {
         let settings = ReplicaSettings::default();
         let mut present = 0;
@@ -350,8 +348,8 @@
                     false => Outcome::Answered(Duration::from_millis(30)),
                 };
                 shard.finish(at(now), &settings, &choice.leaf, outcome);
-                let conduct = if lost { ObservedOutcome::Failed } else { ObservedOutcome::Sound };
-                broker.log.observe(at(now), &choice.leaf, at(now), conduct);
+                let observed = if lost { ObservedOutcome::Failed } else { ObservedOutcome::Sound };
+                broker.log.observe(at(now), &choice.leaf, at(now), observed);
                 tried.push(choice.leaf);
                 if !lost {
                     present += 1;
@@ -366,7 +364,7 @@
         let mut random = Pcg64::seed_from_u64(7);
         let mut draw = || (random.next_u32() as f64) / f64::from(u32::MAX);
         let mut brokers: Vec<Broker> = (0..BROKERS).map(broker).collect();
-        let mut fold = WarningAggregator::default();
+        let mut aggregator = WarningAggregator::default();
         let mut due: BTreeMap<u64, Vec<LeafWarning>> = BTreeMap::new();
         let (mut whole, mut all) = (0, 0);
         for now in (1_000..1_000 + SECONDS * 1_000).step_by(10) {
@@ -374,7 +372,7 @@
             all += 1;
             whole += u32::from(request(&mut brokers[number], now, &mut draw));
             let report = brokers[number].log.take(at(now));
-            let warnings = fold.report(at(now), &brokers[number].name, &report);
+            let warnings = aggregator.report(at(now), &brokers[number].name, &report);
             due.entry(now + DELAY_MS).or_default().extend(warnings);
             for warning in due.remove(&now).unwrap_or_default().iter().filter(|_| warned) {
                 let (shard, _) = warning.leaf.as_str().split_once('-').unwrap();
@@ -397,10 +395,10 @@
     LeafWarning { leaf: leaf("x"), cause: WarningCause::Refusing, for_ms }
 }
 
-/// Most leaves of every shard refuse half of what they are asked, and each of a thousand brokers asks a leaf every
-/// fourteen seconds: none of them could find out by itself which do.
+/// Guards a fleet in which most leaves refuse half of their requests and each of a thousand brokers
+/// asks a leaf every fourteen seconds, so that no broker could find the refusing leaves by itself.
 #[test]
-fn a_leaf_that_refuses_is_warned_of_by_its_own_word() {
+fn a_single_refusal_leads_to_a_warning() {
     let reports = [(10_000, "b1", refused(&[100], 0))];
     assert_eq!(warnings(&mut WarningAggregator::default(), &reports), [refusal(8_000)]);
 }
@@ -420,32 +418,32 @@
 
 #[test]
 fn a_leaf_that_goes_on_refusing_is_warned_of_for_longer() {
-    let mut fold = WarningAggregator::default();
+    let mut aggregator = WarningAggregator::default();
     let reports = [10_000, 18_100, 34_200, 50_300].map(|now| (now, "b1", refused(&[10], 0)));
-    let given = warnings(&mut fold, &reports);
+    let given = warnings(&mut aggregator, &reports);
     assert_eq!(given, [refusal(8_000), refusal(16_000), refusal(16_000), refusal(16_000)]);
 }
 
 #[test]
 fn a_warning_of_another_control_process_holds_here() {
-    let mut fold = WarningAggregator::default();
-    fold.adopt(at(10_000), &[refusal(1_000)]);
-    assert_eq!(fold.current(at(10_400)), [refusal(600)]);
-    assert_eq!(warnings(&mut fold, &[(10_500, "b1", refused(&[10], 0))]), [], "it lasts");
-    let relapsed = warnings(&mut fold, &[(11_200, "b1", refused(&[10], 0))]);
+    let mut aggregator = WarningAggregator::default();
+    aggregator.adopt(at(10_000), &[refusal(1_000)]);
+    assert_eq!(aggregator.current(at(10_400)), [refusal(600)]);
+    assert_eq!(warnings(&mut aggregator, &[(10_500, "b1", refused(&[10], 0))]), [], "it lasts");
+    let relapsed = warnings(&mut aggregator, &[(11_200, "b1", refused(&[10], 0))]);
     assert_eq!(relapsed, [refusal(2_000)]);
 }
 
 #[test]
 fn a_shorter_warning_of_another_control_process_ends_none() {
-    let mut fold = WarningAggregator::default();
-    warnings(&mut fold, &[(10_000, "b1", refused(&[10], 0))]);
-    fold.adopt(at(10_100), &[refusal(200)]);
-    assert_eq!(fold.current(at(10_500)), [refusal(7_500)]);
+    let mut aggregator = WarningAggregator::default();
+    warnings(&mut aggregator, &[(10_000, "b1", refused(&[10], 0))]);
+    aggregator.adopt(at(10_100), &[refusal(200)]);
+    assert_eq!(aggregator.current(at(10_500)), [refusal(7_500)]);
 }
 
-/// Whether the near leaf, of which others say that it refuses, is asked before the far one, after an answer of it so long
-/// ago.
+/// Whether the near leaf, which other brokers report as refusing, is preferred to the far one after
+/// it answered this long ago.
 fn is_asked_first(answered_ms_ago: Option<u64>) -> bool {
     let settings = ReplicaSettings::default();
     let mut replicas = near_and_far();
@@ -462,7 +460,7 @@
 #[case::never_asked(None, false)]
 #[case::answered_long_ago(Some(2_000), false)]
 #[case::answered_just_now(Some(100), true)]
-fn own_answers_go_before_the_word_of_others(
+fn own_answers_override_warnings_of_refusal(
     #[case] answered_ms_ago: Option<u64>,
     #[case] expected: bool,
 ) {
--- a/crates/domain/tests/load_reports.rs
+++ b/crates/domain/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What leaves say of their load.
+//! Expiry of the load reports of leaves.
 
 use gingerkeel_domain::forwarding::{LoadReport, ObservedLoad};
 use gingerkeel_domain::time::Timestamp;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_newest_report_counts_until_it_is_old() {
+fn the_latest_report_counts_until_it_expires() {
     let report = |waiting| LoadReport { running: 4, waiting, slots: 4, pace_percent: 300 };
     let mut load = ObservedLoad::default();
     assert_eq!(load.current(at(0)), None);
--- a/crates/domain/tests/overload_gate.rs
+++ b/crates/domain/tests/overload_gate.rs
@@ -1,4 +1,4 @@
-//! Admission when leaves run short of capacity.
+//! Admission control when leaves run short of capacity.
 
 use std::collections::BTreeMap;
 
@@ -16,17 +16,17 @@
     if in_time { RequestOutcome::InTime } else { RequestOutcome::Late { parts: None } }
 }
 
-/// Settings under which nothing is limited at the start.
+/// Settings without an initial limit.
 fn warm() -> OverloadGateSettings {
     OverloadGateSettings { first_limit: f64::INFINITY, ..OverloadGateSettings::default() }
 }
 
-/// A request that may wait until `give_up_at`.
+/// A request that may be queued until `give_up_at`.
 fn candidate(rank: u32, now: u64, give_up_at: u64) -> Candidate {
     Candidate { rank, in_time_until: at(now + 50), give_up_at: at(give_up_at), tenant: None }
 }
 
-/// A request that may not wait.
+/// Offers a request that may not be queued.
 fn admit(
     gate: &mut OverloadGate,
     now: Timestamp,
@@ -36,9 +36,7 @@
     gate.enter(now, settings, Candidate { rank, in_time_until: now, give_up_at: now, tenant: None })
 }
 
-/// Leaves that work on `capacity` requests at once, each for 50 ms; callers ask `per_tick` times
-/// each 10 ms for each of two ranks. A request that ends more than 100 ms after it came is late; to the
-/// gate, one that ends more than 100 ms after it was admitted. Requests wait for `patience` at most.
+/// A request in the simulated world.
 #[derive(Clone, Copy)]
 struct Request {
     came: u64,
@@ -46,6 +44,10 @@
     rank: usize,
 }
 
+/// Leaves that work on `capacity` requests at once, each for 50 ms. Callers send `per_tick`
+/// requests of each of two ranks every 10 ms. A request that ends more than 100 ms after its
+/// arrival is late; for the gate, one that ends more than 100 ms after its admission. Requests are
+/// queued for at most `max_wait`.
 struct World {
     gate: OverloadGate,
     settings: OverloadGateSettings,
@@ -53,7 +55,7 @@
     running: Vec<(u64, Request)>,
     waiting: BTreeMap<TicketNumber, (u64, Request)>,
     capacity: usize,
-    patience: u64,
+    max_wait: u64,
     in_time: [u32; 2],
     late: [u32; 2],
     refused: [u32; 2],
@@ -64,7 +66,7 @@
         Self::with(capacity, 0, warm())
     }
 
-    fn with(capacity: usize, patience: u64, settings: OverloadGateSettings) -> Self {
+    fn with(capacity: usize, max_wait: u64, settings: OverloadGateSettings) -> Self {
         Self {
             gate: OverloadGate::new(&settings),
             settings,
@@ -72,7 +74,7 @@
             running: Vec::new(),
             waiting: BTreeMap::new(),
             capacity,
-            patience,
+            max_wait,
             in_time: [0; 2],
             late: [0; 2],
             refused: [0; 2],
@@ -112,7 +114,7 @@
 
     fn arrive(&mut self, now: u64, rank: usize) {
         let request = Request { came: now, admitted: now, rank };
-        let until = now + self.patience;
+        let until = now + self.max_wait;
         match self.gate.enter(at(now), &self.settings, candidate(rank as u32, now, until)) {
             AdmissionDecision::Admitted => self.queue.push(request),
             AdmissionDecision::Queued(ticket) => {
@@ -146,7 +148,7 @@
     let mut world = World::new(20);
     world.run(0, 3_000, 4);
     world.run(3_000, 10_000, 4);
-    // 2,800 of each rank came; 2,800 of both can be answered.
+    // 2,800 requests of each rank arrived; 2,800 of both together can be answered.
     assert!(world.in_time[0] > 1_800, "{:?}", world.in_time);
     assert!(world.in_time[0] > world.in_time[1], "{:?}", world.in_time);
     assert!(world.late[0] + world.late[1] < 500, "{:?}", world.late);
@@ -154,7 +156,7 @@
 }
 
 #[test]
-fn once_it_is_over_everything_is_admitted_again() {
+fn after_an_overload_everything_is_admitted_again() {
     let mut world = World::new(20);
     world.run(0, 4_000, 6);
     assert!(world.gate.is_limiting());
@@ -179,7 +181,7 @@
 #[rstest]
 #[case::a_few_slow_shards(8, false)]
 #[case::all_leaves_are_short(3, true)]
-fn only_parts_that_are_late_everywhere_tell_of_a_lack_of_capacity(
+fn only_parts_late_at_most_shards_indicate_a_lack_of_capacity(
     #[case] in_time: usize,
     #[case] limits: bool,
 ) {
@@ -194,7 +196,7 @@
 }
 
 #[test]
-fn requests_that_callers_gave_up_say_nothing_and_are_not_under_way() {
+fn cancelled_requests_are_no_samples_and_not_in_flight() {
     let (mut gate, settings) = (OverloadGate::new(&warm()), warm());
     for number in 0..1_000 {
         assert_eq!(admit(&mut gate, at(number), &settings, 0), AdmissionDecision::Admitted);
@@ -205,7 +207,7 @@
 }
 
 #[test]
-fn the_longer_it_lasts_the_later_callers_come_back() {
+fn the_retry_time_grows_with_the_duration_of_the_shortage() {
     let mut world = World::new(2);
     world.run(0, 1_000, 6);
     let asked = |world: &mut World, now| loop {
@@ -223,23 +225,23 @@
 }
 
 #[test]
-fn a_short_rush_is_waited_for_instead_of_refused() {
-    let mut patient = World::with(20, 3_000, warm());
-    let mut impatient = World::with(20, 0, warm());
-    for world in [&mut patient, &mut impatient] {
-        // Two rounds of three times the capacity, between seconds of half of it.
+fn a_short_surge_is_queued_instead_of_refused() {
+    let mut queueing = World::with(20, 3_000, warm());
+    let mut immediate = World::with(20, 0, warm());
+    for world in [&mut queueing, &mut immediate] {
+        // Two rounds of three times the capacity, after a second of half of it.
         world.run(0, 1_000, 1);
         world.run(1_000, 1_400, 6);
     }
-    let during = [patient.refused, impatient.refused].map(|refused| refused[0] + refused[1]);
-    patient.run(1_400, 6_000, 1);
-    let after = patient.refused[0] + patient.refused[1];
+    let during = [queueing.refused, immediate.refused].map(|refused| refused[0] + refused[1]);
+    queueing.run(1_400, 6_000, 1);
+    let after = queueing.refused[0] + queueing.refused[1];
     assert!(during[0] + after < during[1] / 4, "{during:?} {after}");
-    assert!(patient.waiting.is_empty());
+    assert!(queueing.waiting.is_empty());
 }
 
 #[test]
-fn when_nothing_is_known_a_rush_is_let_in_little_by_little() {
+fn an_initial_surge_is_admitted_gradually() {
     let mut world = World::with(20, 4_000, OverloadGateSettings::default());
     for _ in 0..400 {
         world.arrive(0, 0);
@@ -255,7 +257,10 @@
 #[case::the_newest_of_those_in_time(&[(0, 100), (0, 100), (0, 100)], &[2, 1, 0])]
 #[case::in_time_before_late(&[(0, 0), (0, 100), (0, 0)], &[1, 0, 2])]
 #[case::late_but_of_higher_priority(&[(1, 100), (0, 0)], &[1, 0])]
-fn who_waits_is_admitted_in_order(#[case] requests: &[(u32, u64)], #[case] expected: &[usize]) {
+fn queued_requests_are_admitted_in_order(
+    #[case] requests: &[(u32, u64)],
+    #[case] expected: &[usize],
+) {
     let settings = OverloadGateSettings { first_limit: 1.0, reserve: 0.0, ..warm() };
     let mut gate = OverloadGate::new(&settings);
     assert_eq!(admit(&mut gate, at(0), &settings, 0), AdmissionDecision::Admitted);
@@ -283,7 +288,7 @@
 }
 
 #[test]
-fn who_leaves_the_line_is_not_admitted_and_who_was_admitted_makes_room() {
+fn requests_that_leave_are_not_admitted_or_release_their_admission() {
     let settings = OverloadGateSettings { first_limit: 1.0, ..warm() };
     let mut gate = OverloadGate::new(&settings);
     assert_eq!(admit(&mut gate, at(0), &settings, 0), AdmissionDecision::Admitted);
@@ -296,13 +301,13 @@
     gate.finish(at(2), &settings, RequestOutcome::GivenUp);
     assert_eq!(gate.next(at(2), &settings), Some(stays));
     assert_eq!(gate.in_flight(), 1);
-    // Its caller left before it heard of its admission.
+    // The caller leaves before it is told of the admission.
     gate.leave(at(3), &settings, stays);
     assert_eq!((gate.in_flight(), gate.waiting()), (0, 0));
 }
 
 #[test]
-fn in_a_rush_that_lasts_nobody_waits_in_vain() {
+fn in_a_lasting_overload_unservable_requests_are_refused() {
     let mut world = World::with(20, 2_000, warm());
     world.run(0, 1_000, 1);
     // Four times the capacity.
@@ -311,19 +316,19 @@
     world.run(3_000, 8_000, 8);
     let waiting = world.waiting.len();
     let refused = world.refused[0] + world.refused[1];
-    // 8,000 come and 2,000 can be served; those that wait are a few beside those that are refused.
+    // 8,000 arrive and 2,000 can be served; few wait compared to those refused.
     assert!(refused > 5_000, "{refused}");
     assert!(waiting < 100, "{waiting}");
     let in_time = world.in_time[0] + world.in_time[1];
     assert!(in_time > 1_200, "{in_time}");
     assert!(in_time > 2 * (world.late[0] + world.late[1]), "{in_time} {:?}", world.late);
-    // Once it is over those that come may wait again.
+    // Once the overload is over, requests may be queued again.
     world.run(8_000, 11_000, 1);
     assert!(!world.gate.is_overloaded());
 }
 
 #[test]
-fn who_was_refused_while_it_waited_does_not_count_as_under_way() {
+fn a_request_refused_while_queued_does_not_count_as_in_flight() {
     let mut world = World::with(4, 5_000, warm());
     world.run(0, 4_000, 8);
     let ticket = world.gate.take_unservable(at(4_000)).first().copied();
--- a/crates/domain/tests/planned_stop.rs
+++ b/crates/domain/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! The times of a planned stop: nothing is taken that could still run when the process ends.
+//! Schedule of a planned stop: no request is accepted that could still run when the process exits.
 
 use std::time::Duration;
 
@@ -20,21 +20,21 @@
 #[case::long_request_in_time(3_000, 1_000, true)]
 #[case::longer_than_the_stop(0, 12_000, false)]
 #[case::too_late_for_any(5_300, 1, false)]
-fn a_request_is_taken_while_it_can_end(
+fn a_request_is_accepted_while_it_can_end_in_time(
     #[case] after: u64,
     #[case] expected: u64,
-    #[case] taken: bool,
+    #[case] accepted: bool,
 ) {
     let stop = PlannedStop::begin(BEGAN, LENGTH);
     let now = at(Duration::from_millis(after));
-    assert_eq!(stop.accepts(now, Duration::from_millis(expected)), taken);
+    assert_eq!(stop.accepts(now, Duration::from_millis(expected)), accepted);
 }
 
 #[rstest]
 #[case(Duration::from_millis(100))]
 #[case(LENGTH)]
 #[case(Duration::from_secs(600))]
-fn answers_come_before_the_end_and_the_end_before_the_time_is_over(#[case] length: Duration) {
+fn answers_precede_the_exit_and_the_exit_precedes_the_kill(#[case] length: Duration) {
     let stop = PlannedStop::begin(BEGAN, length);
     assert!(stop.idle_until() < stop.answers_by());
     assert!(stop.callers_until() < stop.answers_by());
--- a/crates/domain/tests/replica_choice.rs
+++ b/crates/domain/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which replica is asked.
+//! Selection of replicas by the dispatcher.
 
 mod support;
 
@@ -12,12 +12,12 @@
 
 const DRAINED: LeafId = LeafId(0);
 
-/// Leaves asked by `count` queries that nobody answers.
+/// Leaves asked by `count` queries that stay unanswered.
 fn asked(harness: &mut Harness, count: usize) -> Vec<LeafId> {
     (0..count).flat_map(|_| sends(&harness.submit(true))).map(|sending| sending.leaf).collect()
 }
 
-/// One shard with a replica in each of three places: own zone, own region, elsewhere.
+/// One shard with a replica in the own zone, the own region and another region.
 fn spread_catalog() -> Catalog {
     let mut catalog = Catalog::default();
     let places = [("south", "a"), ("south", "b"), ("north", "a")];
@@ -98,7 +98,7 @@
     harness.reconfigure(|catalog| change(catalog, Change::SetLeafState { leaf: DRAINED, state }));
 }
 
-/// The leaf says on a reply whether it is leaving.
+/// The leaf reports with a reply whether it is draining.
 fn mark(harness: &mut Harness, draining: bool) {
     loop {
         let sending = sends(&harness.submit(true))[0];
@@ -168,7 +168,7 @@
     assert!(asked(&mut harness, 30).contains(&DRAINED));
 }
 
-/// Runs queries until `leaf` failed `count` times in a row.
+/// Runs queries until `leaf` has failed `count` times in a row.
 fn fail_in_a_row(harness: &mut Harness, leaf: LeafId, count: usize) {
     let mut failures = 0;
     while failures < count {
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn refusals_are_load_and_leave_nobody_out() {
+fn refusals_count_as_load_and_eject_no_replica() {
     let mut harness = Harness::new(&[&[0, 1]]);
     for _ in 0..30 {
         let sending = sends(&harness.submit(false))[0];
@@ -260,7 +260,7 @@
 #[test]
 fn a_replica_far_slower_than_its_peers_is_left_out() {
     let mut harness = Harness::new(&[&[0, 1, 2, 3]]);
-    // Overlapping queries keep every replica in use, the slow one too.
+    // Overlapping queries keep every replica in use, including the slow one.
     for _ in 0..100 {
         let batch: Vec<_> = (0..16).flat_map(|_| sends(&harness.submit(false))).collect();
         harness.wait(millis(2));
@@ -320,9 +320,9 @@
 }
 
 #[test]
-fn a_healthy_look_does_not_matter_when_requests_fail() {
+fn reported_health_does_not_outweigh_failing_requests() {
     let mut harness = Harness::new(&[&[0, 1]]);
-    // Every reply carries the word that all is well; the requests fail all the same.
+    // Every reply reports a healthy leaf, but the requests fail.
     for _ in 0..40 {
         let sending = sends(&harness.submit(false))[0];
         harness.wait(millis(1));
--- a/crates/domain/tests/request_attempts.rs
+++ b/crates/domain/tests/request_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at one request: how many there may be, and what their ends say.
+//! Attempts at one request: their number and the consequences of their outcomes.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
     Timestamp::from_micros(milliseconds * 1_000)
 }
 
-/// One leaf was asked.
+/// State after one attempt.
 fn one_asked(repeatable: bool) -> RequestAttempts {
     let mut attempts = RequestAttempts::new(repeatable, 2);
     attempts.asked(at(0), leaf("a"));
     attempts
 }
 
-/// The end of the first attempt, what it means for a repeatable request and for another one, and
-/// whether the next attempt is an extra one.
+/// Outcome of the first attempt, its consequence for a repeatable and for a non-repeatable request,
+/// and whether the next attempt is an extra one.
 #[rstest]
 #[case::answered(Ok(200), AfterAttempt::Reply, AfterAttempt::Reply, false)]
 #[case::wrong_request(Ok(404), AfterAttempt::Reply, AfterAttempt::Reply, false)]
@@ -52,7 +52,7 @@
     assert_eq!(one_asked(false).ended(&leaf("a"), outcome), once);
 }
 
-/// Whether the leaf may be asked once more after what came of the first attempt.
+/// Whether the leaf may be asked once more after the outcome of its first attempt.
 #[rstest]
 #[case::rejected(AttemptError::Rejected, true)]
 #[case::another_leaf(AttemptError::AnotherLeaf, true)]
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn leaves_that_owe_a_reply_for_long_are_told() {
+fn leaves_with_long_open_attempts_are_listed() {
     let mut attempts = one_asked(true);
     attempts.asked(at(50), leaf("b"));
     let overdue: Vec<_> = attempts.open_for(at(100), Duration::from_millis(60)).collect();
--- a/crates/domain/tests/tenant_shares.rs
+++ b/crates/domain/tests/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! Tenants that compete for too little room: who is served, within a priority.
+//! Fair sharing of scarce capacity among tenants of one priority.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,14 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rstest::rstest;
 
-/// Milliseconds between two steps of a replay.
+/// Milliseconds per simulation step.
 const STEP: u64 = 10;
-/// Milliseconds that a leaf works on a request.
+/// Milliseconds of work per request.
 const WORK: u64 = 200;
-/// Milliseconds within which an answer is in time.
+/// Target latency in milliseconds.
 const TARGET: u64 = 600;
-/// Milliseconds that a request waits for admission at most.
-const PATIENCE: u64 = 1_500;
+/// Maximum queueing time in milliseconds.
+const MAX_WAIT: u64 = 1_500;
 
 fn at(milliseconds: u64) -> Timestamp {
     Timestamp::from_micros(milliseconds * 1_000)
@@ -37,11 +37,12 @@
     tenant: usize,
 }
 
-/// Brokers with a gate each in front of leaves that they share, and what became of each tenant's requests.
+/// Brokers with a gate each in front of shared leaves, and the outcomes of the requests of each
+/// tenant.
 struct Replay {
-    /// Requests a second of each tenant, and its weight.
+    /// Request rate per second and weight of each tenant.
     tenants: Vec<(f64, u64)>,
-    /// Whether gates are told whose a request is.
+    /// Whether the gates know the tenant of a request.
     named: bool,
     slots: usize,
     gates: Vec<OverloadGate>,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Plays some seconds, and counts what came in them anew.
+    /// Simulates the given seconds and restarts the counters.
     fn play(&mut self, from_s: u64, to_s: u64) {
         self.came.fill(0);
         self.in_time.fill(0);
@@ -102,7 +103,7 @@
         let candidate = Candidate {
             rank: 0,
             in_time_until: at(now + TARGET - WORK),
-            give_up_at: at(now + PATIENCE),
+            give_up_at: at(now + MAX_WAIT),
             tenant: self.named.then(|| tenant(number, self.tenants[number].1)),
         };
         let request = Request { came: now, admitted: now, broker, tenant: number };
@@ -128,7 +129,7 @@
     }
 
     fn give_up(&mut self, now: u64) {
-        let over = |request: &Request| request.came + PATIENCE <= now;
+        let over = |request: &Request| request.came + MAX_WAIT <= now;
         let over: Vec<_> =
             self.waiting.iter().filter(|(_, request)| over(request)).map(|(key, _)| *key).collect();
         for (broker, ticket) in over {
@@ -139,7 +140,7 @@
 
     fn end(&mut self, now: u64) {
         let ended: Vec<_> = self.running.extract_if(.., |(end, _)| *end <= now).collect();
-        let expired = self.queue.extract_if(.., |request| request.came + PATIENCE <= now);
+        let expired = self.queue.extract_if(.., |request| request.came + MAX_WAIT <= now);
         for request in expired {
             let late = RequestOutcome::Late { parts: None };
             self.gates[request.broker].finish(at(now), &OverloadGateSettings::default(), late);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Share of the requests of some tenants that were answered in time.
+    /// Share of the requests of the given tenants that were answered in time.
     fn share_in_time(&self, tenants: std::ops::Range<usize>) -> f64 {
         let came: u32 = self.came[tenants.clone()].iter().sum();
         let in_time: u32 = self.in_time[tenants].iter().sum();
@@ -164,8 +165,8 @@
     }
 }
 
-/// Twenty small tenants and a large one, of which leaves bear all; then the large one sends twenty times its
-/// usual. Each broker sees 24 requests a second before, and may send 30 to leaves.
+/// Twenty small tenants and a large one within capacity; then the large one sends twenty times its
+/// usual rate. Each broker receives 24 requests per second before, and may send 30 to leaves.
 fn hot(brokers: usize, named: bool) -> Replay {
     let many = brokers as f64;
     let mut tenants = vec![(many, 1); 20];
@@ -177,11 +178,11 @@
     replay
 }
 
-/// The large tenant's share of what leaves bear, by weight, is 10 of 30 requests a second.
+/// The weighted share of the large tenant is 10 of 30 requests per second.
 #[rstest]
 #[case::one_broker(1, 0.65)]
 #[case::brokers_that_share_leaves(4, 0.5)]
-fn one_that_sends_twenty_times_its_usual_gets_what_the_others_leave(
+fn a_tenant_beyond_its_share_gets_what_the_others_leave(
     #[case] brokers: usize,
     #[case] least: f64,
 ) {
@@ -197,9 +198,7 @@
 }
 
 #[rstest]
-fn where_all_send_five_times_their_usual_as_many_are_in_time_as_without_shares(
-    #[values(1, 4)] brokers: usize,
-) {
+fn with_equal_overload_shares_cost_no_goodput(#[values(1, 4)] brokers: usize) {
     let in_time = [false, true].map(|named| {
         let many = brokers as f64;
         let mut replay = Replay::new(brokers, 6 * brokers, vec![(many, 1); 20], named);
@@ -212,7 +211,7 @@
 }
 
 #[test]
-fn once_it_sends_its_usual_again_everybody_is_served() {
+fn after_the_surge_all_tenants_are_served() {
     let mut replay = hot(1, true);
     replay.tenants[20].0 /= 20.0;
     replay.play(50, 60);
@@ -221,102 +220,102 @@
     assert!(in_time.iter().all(|share| *share > 0.98), "{in_time:?}");
 }
 
-/// The rank of what competes.
+/// Priority rank of the competing requests.
 const RANK: u32 = 1;
 
-/// A request that may wait for a second.
+/// A request that can be in time for 100 s and may be queued for a second longer.
 fn waiting(rank: u32, tenant: Option<SharingTenant>) -> Candidate {
     Candidate { rank, in_time_until: at(100_000), give_up_at: at(101_000), tenant }
 }
 
-/// A broker to which a large tenant sends ten requests a second, of which one and a half begin, and twenty
-/// small ones together one in a second.
-fn busy_line(until_s: u64) -> AdmissionQueue {
-    let mut line = AdmissionQueue::default();
+/// A broker that receives ten requests per second of a large tenant, of which 1.5 start, and one
+/// per second of twenty small tenants together, which starts.
+fn busy_queue(until_s: u64) -> AdmissionQueue {
+    let mut queue = AdmissionQueue::default();
     let (large, other) =
         (waiting(RANK, Some(tenant(20, 10))), |number| waiting(RANK, Some(tenant(number, 1))));
     for tenth in 0..until_s * 10 {
         let now = at(tenth * 100);
-        line.record_arrival(now, &large);
+        queue.record_arrival(now, &large);
         if tenth % 10 == 0 {
             let small = other((tenth / 10 % 20) as usize);
-            line.record_arrival(now, &small);
-            line.record_start(&small);
+            queue.record_arrival(now, &small);
+            queue.record_start(&small);
         }
         if [0, 7, 13].contains(&(tenth % 20)) {
-            line.record_start(&large);
+            queue.record_start(&large);
         }
     }
-    line
+    queue
 }
 
 #[rstest]
 #[case::after_a_second(1)]
 #[case::after_three(3)]
 #[case::after_half_a_minute(30)]
-fn at_a_request_a_second_a_rare_one_goes_before_a_queue(#[case] seconds: u64) {
-    let mut line = busy_line(seconds);
+fn a_rare_request_goes_before_a_queue_of_a_large_tenant(#[case] seconds: u64) {
+    let mut queue = busy_queue(seconds);
     let now = at(seconds * 1_000);
     let (rare, large) = (waiting(RANK, Some(tenant(7, 1))), waiting(RANK, Some(tenant(20, 10))));
-    line.record_arrival(now, &rare);
-    let ticket = line.join(rare);
+    queue.record_arrival(now, &rare);
+    let ticket = queue.join(rare);
     for _ in 0..50 {
-        line.record_arrival(now, &large);
-        line.join(large);
+        queue.record_arrival(now, &large);
+        queue.join(large);
     }
-    assert!(line.is_within_share(&rare) && !line.is_within_share(&large));
-    assert_eq!(line.take(now, |_| true).map(|(first, _)| first), Some(ticket));
+    assert!(queue.is_within_share(&rare) && !queue.is_within_share(&large));
+    assert_eq!(queue.take(now, |_| true).map(|(first, _)| first), Some(ticket));
 }
 
 #[test]
 fn each_priority_has_shares_of_its_own() {
-    let line = busy_line(10);
+    let queue = busy_queue(10);
     let lower = waiting(RANK + 1, Some(tenant(20, 10)));
-    assert!(line.is_within_share(&lower), "nobody went without there");
+    assert!(queue.is_within_share(&lower), "nobody went without there");
     assert!(
-        !line.is_within_share(&waiting(RANK, None)),
+        !queue.is_within_share(&waiting(RANK, None)),
         "whose tenant is not known waits as before"
     );
 }
 
 #[test]
-fn where_nothing_begins_nobody_is_held_in_vain() {
-    let mut line = AdmissionQueue::default();
+fn without_started_requests_no_tenant_is_within_its_share() {
+    let mut queue = AdmissionQueue::default();
     let request = |number| waiting(RANK, Some(tenant(number, 1)));
     for step in 0..40 {
-        line.record_arrival(at(step * 100), &request((step % 4) as usize));
+        queue.record_arrival(at(step * 100), &request((step % 4) as usize));
     }
-    assert!((0..4).all(|number| !line.is_within_share(&request(number))));
+    assert!((0..4).all(|number| !queue.is_within_share(&request(number))));
 }
 
 #[test]
-fn a_tenant_that_has_come_to_rest_is_forgiven() {
-    let mut line = busy_line(10);
+fn an_idle_tenant_regains_its_share() {
+    let mut queue = busy_queue(10);
     let (large, small) = (waiting(RANK, Some(tenant(20, 10))), waiting(RANK, Some(tenant(1, 1))));
-    assert!(!line.is_within_share(&large));
+    assert!(!queue.is_within_share(&large));
     for second in 10..60 {
-        line.record_arrival(at(second * 1_000), &small);
-        line.record_start(&small);
+        queue.record_arrival(at(second * 1_000), &small);
+        queue.record_start(&small);
     }
-    line.record_arrival(at(60_000), &large);
-    assert!(line.is_within_share(&large));
+    queue.record_arrival(at(60_000), &large);
+    assert!(queue.is_within_share(&large));
 }
 
-/// Ten of the large tenant wait, two small ones, and three of higher priority.
+/// Ten requests of the large tenant are queued, two of small ones and three of higher priority.
 #[rstest]
 #[case::within_its_share(Some(tenant(7, 1)), 5)]
 #[case::beyond_it(Some(tenant(20, 10)), 15)]
 #[case::not_known(None, 15)]
-fn only_what_is_served_before_a_request_is_ahead_of_it(
+fn only_requests_served_earlier_count_as_ahead(
     #[case] newcomer: Option<SharingTenant>,
     #[case] ahead: usize,
 ) {
-    let mut line = busy_line(10);
+    let mut queue = busy_queue(10);
     let (large, small) = (Some(tenant(20, 10)), Some(tenant(3, 1)));
     for (count, rank, tenant) in [(10, RANK, large), (2, RANK, small), (3, RANK - 1, None)] {
         (0..count).for_each(|_| {
-            line.join(waiting(rank, tenant));
+            queue.join(waiting(rank, tenant));
         });
     }
-    assert_eq!(line.ahead(at(10_000), &waiting(RANK, newcomer)), ahead);
+    assert_eq!(queue.ahead(at(10_000), &waiting(RANK, newcomer)), ahead);
 }
