--- a/crates/domain/src/cluster/command.rs
+++ b/crates/domain/src/cluster/command.rs
@@ -164,7 +164,7 @@
     pub enum ChangeRefusal {
         /// A conflicting change was accepted since the base revision.
         Conflict(target: String, first: SessionName, at: WallTime, revision: Revision) {
-            display("{target} was changed concurrently by session {first} at revision {revision} ({} ms since 1970): inspect it with SHOW, then repeat the change AT REVISION {revision} or later", at.0)
+            display("{target} was changed first by session {first} at revision {revision} ({} ms since 1970): inspect it with SHOW, then repeat the change AT REVISION {revision} or later", at.0)
         }
         /// The base revision is newer than the newest accepted one.
         RevisionAhead(named: Revision, newest: Revision) {
