--- a/crates/control/src/native_routes.rs
+++ b/crates/control/src/native_routes.rs
@@ -36,7 +36,7 @@
 pub struct NativeRoutes;
 
 impl RouteInterface for NativeRoutes {
-    fn understand(&self, request: &HttpRequest) -> Result<RouteCall, InterfaceError> {
+    fn parse_call(&self, request: &HttpRequest) -> Result<RouteCall, InterfaceError> {
         if let Some(zone) = request.uri().path().strip_prefix(EVACUATIONS_PATH) {
             return Ok(evacuation(request.method(), zone));
         }
--- a/crates/control/src/ports.rs
+++ b/crates/control/src/ports.rs
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// An [`InterfaceError`] when the body is not a whole configuration.
-    fn understand(&self, request: &HttpRequest) -> Result<RouteCall, InterfaceError>;
+    fn parse_call(&self, request: &HttpRequest) -> Result<RouteCall, InterfaceError>;
 
     /// Gives the answer its form.
     fn answer(&self, answer: RouteAnswer<'_>) -> HttpResponse;
--- a/crates/control/src/route_operators.rs
+++ b/crates/control/src/route_operators.rs
@@ -80,7 +80,7 @@
     checks: &OrderChecks,
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
-    match interface.understand(request) {
+    match interface.parse_call(request) {
         Ok(RouteCall::Replace(routes)) => {
             replace(*routes, interface, &checks.places, cluster).await
         }
