--- a/crates/control/src/directory_polling.rs
+++ b/crates/control/src/directory_polling.rs
@@ -158,7 +158,7 @@
         for _ in 0..PAGE_LIMIT {
             let body = timeout(CALL_LIMIT, self.call(page.as_deref()));
             let body = body.await.map_err(|_| PollError::Silent)??;
-            let read = self.interface.understand(&body)?;
+            let read = self.interface.parse_page(&body)?;
             read.leaves.into_iter().for_each(|leaf| reading.add(leaf));
             read.left_out.into_iter().for_each(|entry| reading.leave_out(entry));
             match read.next {
--- a/crates/control/src/native_directory.rs
+++ b/crates/control/src/native_directory.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    fn understand(&self, body: &Bytes) -> Result<DirectoryPage, InterfaceError> {
+    fn parse_page(&self, body: &Bytes) -> Result<DirectoryPage, InterfaceError> {
         read_page::<ListedLeaf>(body, FIELDS)
             .map_err(|error| InterfaceError::unreadable("list of leaves", &error))
     }
--- a/crates/control/src/ports.rs
+++ b/crates/control/src/ports.rs
@@ -121,5 +121,5 @@
     ///
     /// # Errors
     /// An [`InterfaceError`] when the body is no page.
-    fn understand(&self, body: &Bytes) -> Result<DirectoryPage, InterfaceError>;
+    fn parse_page(&self, body: &Bytes) -> Result<DirectoryPage, InterfaceError>;
 }
