--- a/crates/control/src/places.rs
+++ b/crates/control/src/configured_zones.rs
@@ -7,11 +7,11 @@
 
 /// Zones with their regions. Where the settings name none, nothing is known of places.
 #[derive(Debug, Clone, Default)]
-pub struct KnownPlaces {
+pub struct ConfiguredZones {
     zones: BTreeMap<ZoneName, RegionName>,
 }
 
-impl KnownPlaces {
+impl ConfiguredZones {
     /// These zones, by name, with the names of their regions.
     pub fn new(zones: &BTreeMap<String, String>) -> Self {
         let zones =
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,6 +3,7 @@
 
 mod change_proposals;
 mod cluster_task;
+mod configured_zones;
 mod directory_polling;
 pub mod entries;
 mod error;
@@ -12,7 +13,6 @@
 mod native_routes;
 mod operators;
 mod order_checks;
-mod places;
 pub mod ports;
 mod reload;
 pub mod replication;
@@ -41,10 +41,10 @@
 pub use error::ControlError;
 
 use crate::cluster_task::{OwnIdentity, TaskSenders};
+use crate::configured_zones::ConfiguredZones;
 use crate::native_directory::NativeDirectory;
 use crate::native_routes::NativeRoutes;
 use crate::order_checks::OrderChecks;
-use crate::places::KnownPlaces;
 use crate::ports::{DirectoryInterface, RouteInterface};
 use crate::replication::ReplicationOptions;
 use crate::replication_client::ReplicationClient;
@@ -104,7 +104,7 @@
         feed: settings.feed,
     };
     let checks = Rc::new(OrderChecks {
-        places: KnownPlaces::new(&settings.zone_regions),
+        zones: ConfiguredZones::new(&settings.zone_regions),
         limit: ExposureLimit {
             share: PartsPerMillion(settings.rollout.exposed_ppm),
             slack: settings.rollout.exposed_slack,
--- a/crates/control/src/order_checks.rs
+++ b/crates/control/src/order_checks.rs
@@ -5,14 +5,14 @@
 use local_sync::mpsc::unbounded::Tx;
 
 use crate::cluster_task::ClusterMessage;
-use crate::places::KnownPlaces;
+use crate::configured_zones::ConfiguredZones;
 use crate::rollout_orders;
 use crate::zone_orders::check_zone;
 
 /// Settings of this process that apply to orders.
 pub struct OrderChecks {
     /// The configured zones with their regions.
-    pub places: KnownPlaces,
+    pub zones: ConfiguredZones,
     /// Maximum exposure of requests to a version on trial.
     pub limit: ExposureLimit,
 }
@@ -30,7 +30,7 @@
     ) -> Result<Change, String> {
         match change {
             Change::EvacuateZone(zone) => {
-                let known = check_zone(&zone, &self.places, cluster).await;
+                let known = check_zone(&zone, &self.zones, cluster).await;
                 known.map(|()| Change::EvacuateZone(zone)).map_err(|error| error.to_string())
             }
             Change::BeginRollout(stated) => {
--- a/crates/control/src/route_operators.rs
+++ b/crates/control/src/route_operators.rs
@@ -15,8 +15,8 @@
 use tracing::{debug, info, warn};
 
 use crate::cluster_task::ClusterMessage;
+use crate::configured_zones::ConfiguredZones;
 use crate::order_checks::OrderChecks;
-use crate::places::KnownPlaces;
 use crate::ports::{RouteAnswer, RouteCall, RouteInterface};
 use crate::rollout_orders::{self, RolloutOrderError};
 use crate::zone_orders::{ZoneOrder, ZoneOrderError, carry_out, check_zone};
@@ -81,10 +81,8 @@
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
     match interface.parse_call(request) {
-        Ok(RouteCall::Replace(routes)) => {
-            replace(*routes, interface, &checks.places, cluster).await
-        }
-        Ok(RouteCall::Evacuate(zone)) => match check_zone(&zone, &checks.places, cluster).await {
+        Ok(RouteCall::Replace(routes)) => replace(*routes, interface, &checks.zones, cluster).await,
+        Ok(RouteCall::Evacuate(zone)) => match check_zone(&zone, &checks.zones, cluster).await {
             Ok(()) => order(ZoneOrder { zone, evacuate: true }, interface, cluster).await,
             Err(error) => zone_refused(&zone, &error, interface),
         },
@@ -108,12 +106,12 @@
 async fn replace(
     routes: AcceptedRoutes,
     interface: &dyn RouteInterface,
-    places: &KnownPlaces,
+    zones: &ConfiguredZones,
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
     let version = routes.configuration.version.0;
     let valid = routes.configuration.validate();
-    if let Err(error) = valid.and_then(|()| places.check_regions(&routes.configuration)) {
+    if let Err(error) = valid.and_then(|()| zones.check_regions(&routes.configuration)) {
         info!(event = "routes_refused", version, %error);
         return interface.answer(RouteAnswer::Invalid(error.to_string()));
     }
--- a/crates/control/src/zone_orders.rs
+++ b/crates/control/src/zone_orders.rs
@@ -18,7 +18,7 @@
 
 use crate::change_proposals::{OutcomeUnknown, propose};
 use crate::cluster_task::{ClusterMessage, ZoneView};
-use crate::places::KnownPlaces;
+use crate::configured_zones::ConfiguredZones;
 
 /// Time for which the sender of an order is sure to wait for its answer. Operators' tools turn to
 /// another control process after 1 s.
@@ -80,16 +80,16 @@
 /// process that has just started must not refuse a valid order as final.
 pub async fn check_zone(
     zone: &ZoneName,
-    places: &KnownPlaces,
+    zones: &ConfiguredZones,
     cluster: &Tx<ClusterMessage>,
 ) -> Result<(), ZoneOrderError> {
-    if places.has_zone(zone) {
+    if zones.has_zone(zone) {
         return Ok(());
     }
     let view = read_zone(zone, cluster).await?;
     match view.named {
         true => Ok(()),
-        false if places.is_empty() && !view.names_any => {
+        false if zones.is_empty() && !view.names_any => {
             Err(ZoneOrderError::NoZoneYet(zone.clone()))
         }
         false => Err(ZoneOrderError::UnknownZone(zone.clone())),
