--- a/crates/control/src/cluster_task/mod.rs
+++ b/crates/control/src/cluster_task/mod.rs
@@ -27,7 +27,7 @@
 use local_sync::mpsc::unbounded::{self, Rx, Tx};
 use tracing::{debug, error, info};
 
-use crate::directory_polling::ReadAtOnce;
+use crate::directory_polling::RefreshRequest;
 use crate::leaf_polling::PollPlan;
 use crate::replication::{StateMachineMessage, StateSnapshot};
 use crate::replication_client::ReplicationClient;
@@ -58,7 +58,7 @@
     /// Receives the plan of leaves to poll.
     pub polling: Tx<PollPlan>,
     /// Requests an immediate reading of the external directory.
-    pub read_directory: Tx<ReadAtOnce>,
+    pub read_directory: Tx<RefreshRequest>,
 }
 
 /// State of the cluster task.
--- a/crates/control/src/cluster_task/routes.rs
+++ b/crates/control/src/cluster_task/routes.rs
@@ -9,7 +9,7 @@
 
 use super::pending_routes::RoutesReply;
 use super::{ClusterMessage, ClusterTask};
-use crate::directory_polling::ReadAtOnce;
+use crate::directory_polling::RefreshRequest;
 
 impl ClusterTask {
     /// Proposes a replacement of the route configuration. A superseded one is acknowledged at once,
@@ -47,7 +47,7 @@
         let routes = self.state.routes().current();
         if routes.is_some_and(|routes| routes.names_unlisted(self.state.directory())) {
             // Without an external directory there is no receiver.
-            let _ = self.senders.read_directory.send(ReadAtOnce);
+            let _ = self.senders.read_directory.send(RefreshRequest);
         }
     }
 
--- a/crates/control/src/directory_polling.rs
+++ b/crates/control/src/directory_polling.rs
@@ -67,7 +67,7 @@
 }
 
 /// The list is to be read at once: something is known that it must tell of.
-pub struct ReadAtOnce;
+pub struct RefreshRequest;
 
 /// When the list is read next.
 struct Turns {
@@ -111,7 +111,7 @@
     interface: Rc<dyn DirectoryInterface>,
     replication: ReplicationClient,
     cluster: Tx<ClusterMessage>,
-    mut requests: Rx<ReadAtOnce>,
+    mut requests: Rx<RefreshRequest>,
 ) {
     let interval = Duration::from_millis(settings.poll_interval_ms.into());
     let mut turns = Turns::new(interval);
