--- a/crates/control/src/tables/mod.rs
+++ b/crates/control/src/tables/mod.rs
@@ -16,10 +16,14 @@
 use gingerkeel_statement::{StatementReply, Subject};
 
 /// How the quota of a tenant stands; none while it is far from used up.
-pub type UseOfQuota<'state> = &'state dyn Fn(&TenantName) -> Option<TenantLevel>;
+pub type QuotaLevels<'state> = &'state dyn Fn(&TenantName) -> Option<TenantLevel>;
 
 /// The table of a look-up.
-pub fn show(state: &ClusterState, use_of: UseOfQuota<'_>, subject: &Subject) -> StatementReply {
+pub fn show(
+    state: &ClusterState,
+    quota_levels: QuotaLevels<'_>,
+    subject: &Subject,
+) -> StatementReply {
     match subject {
         Subject::Services => catalog::services(state.catalog()),
         Subject::Classes(service) => catalog::classes(state.catalog(), service.as_ref()),
@@ -34,7 +38,7 @@
         Subject::Revision => cluster::revision(state),
         Subject::Changes => cluster::changes(state),
         Subject::Routes => routes::routes(state.routes()),
-        Subject::Tenants => tenants::tenants(state.routes(), use_of),
+        Subject::Tenants => tenants::tenants(state.routes(), quota_levels),
         Subject::Directory => routes::directory(state.directory()),
         Subject::Zones => zones::zones(state),
         Subject::Rollouts => rollouts::rollouts(state),
--- a/crates/control/src/tables/tenants.rs
+++ b/crates/control/src/tables/tenants.rs
@@ -5,18 +5,18 @@
 use gingerkeel_statement::StatementReply;
 
 use super::routes::regions;
-use super::{UseOfQuota, table};
+use super::{QuotaLevels, table};
 
 /// Thousandths of a whole.
 const THOUSAND: f64 = 1_000.0;
 
 /// Tenants of the configuration accepted, a row each. Of keys it tells how many there are; of the use of
 /// quotas what this process told its brokers lately.
-pub fn tenants(state: &RouteState, use_of: UseOfQuota<'_>) -> StatementReply {
+pub fn tenants(state: &RouteState, quota_levels: QuotaLevels<'_>) -> StatementReply {
     let accepted = state.current();
     let version = state.version().0;
     let tenants = accepted.map(|accepted| &accepted.configuration.tenants[..]).unwrap_or_default();
-    let rows = tenants.iter().map(|tenant| row(tenant, use_of, version)).collect();
+    let rows = tenants.iter().map(|tenant| row(tenant, quota_levels, version)).collect();
     let columns = [
         "tenant",
         "keys",
@@ -31,9 +31,9 @@
     table(&columns, rows)
 }
 
-fn row(tenant: &Tenant, use_of: UseOfQuota<'_>, version: u64) -> Vec<String> {
+fn row(tenant: &Tenant, quota_levels: QuotaLevels<'_>, version: u64) -> Vec<String> {
     let [rate, burst] = quota(tenant.quota);
-    let [left, arrivals] = use_of(&tenant.name).map(|level| used(&level)).unwrap_or_default();
+    let [left, arrivals] = quota_levels(&tenant.name).map(|level| used(&level)).unwrap_or_default();
     vec![
         tenant.name.to_string(),
         tenant.keys.len().to_string(),
