--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -9,7 +9,7 @@
 use gingerkeel_statement::StatementReply;
 use rustix::process::Signal;
 use support::cluster::Cluster;
-use support::{HollowBroker, wait_until};
+use support::{FakeBroker, wait_until};
 
 /// Processes of a cluster.
 const PROCESSES: usize = 3;
@@ -97,7 +97,7 @@
     let mut cluster = Cluster::start(PROCESSES);
     let text = "DEFINE CALLER portal BUDGET 1 BURST 1";
     assert_eq!(cluster.command(text, "anna", 1, 0, usize::MAX), 1);
-    let mut broker = HollowBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
     broker.renew(1, 1);
     cluster.kill(1);
     cluster.kill(2);
--- a/crates/control/tests/crashing_requests.rs
+++ b/crates/control/tests/crashing_requests.rs
@@ -6,7 +6,7 @@
 
 use gingerkeel_domain::crash_suspects::{CrashFinding, RequestDigest, Verdict};
 use gingerkeel_protocol::{FeedMessage, SubscriberMessage, decode_document, encode_document};
-use support::HollowBroker;
+use support::FakeBroker;
 use support::cluster::Cluster;
 
 const PROCESSES: usize = 3;
@@ -22,13 +22,13 @@
     }
 }
 
-fn report(broker: &mut HollowBroker, finding: CrashFinding) {
+fn report(broker: &mut FakeBroker, finding: CrashFinding) {
     let findings = encode_document(&vec![finding]).unwrap().into();
     broker.send(&SubscriberMessage::CrashFindings { findings });
 }
 
 /// Waits until a broker is told that the request is refused.
-fn is_told(broker: &mut HollowBroker) {
+fn is_told(broker: &mut FakeBroker) {
     let told = broker.receive_until(|message| match message {
         FeedMessage::CrashFindings { findings } | FeedMessage::RefusedRequests { findings, .. } => {
             let findings: Vec<CrashFinding> = decode_document(&findings.bytes).unwrap();
@@ -39,12 +39,12 @@
     assert_eq!(told.verdict, Verdict::Refused);
 }
 
-fn subscribe(cluster: &Cluster, control: usize, name: &str) -> HollowBroker {
-    HollowBroker::subscribe(&cluster.members[control].control, name, 1, 0)
+fn subscribe(cluster: &Cluster, control: usize, name: &str) -> FakeBroker {
+    FakeBroker::subscribe(&cluster.members[control].control, name, 1, 0)
 }
 
 /// A broker at each control process.
-fn subscribe_to_each(cluster: &Cluster) -> Vec<HollowBroker> {
+fn subscribe_to_each(cluster: &Cluster) -> Vec<FakeBroker> {
     let controls = 0..PROCESSES;
     controls.map(|control| subscribe(cluster, control, &format!("b{control}"))).collect()
 }
@@ -107,7 +107,7 @@
         let finding = encode_document(&proof()).unwrap().into();
         broker.send(&SubscriberMessage::AskTrial { ticket: 9, finding });
     }
-    let answer = |broker: &mut HollowBroker| {
+    let answer = |broker: &mut FakeBroker| {
         broker.receive_until(|message| match message {
             FeedMessage::Trial { ticket: 9, granted } => Some(granted),
             _ => None,
--- a/crates/control/tests/directory_feed.rs
+++ b/crates/control/tests/directory_feed.rs
@@ -9,7 +9,7 @@
 
 use gingerkeel_domain::directory::{DirectoryDelta, LeafDirectory};
 use gingerkeel_protocol::{FeedMessage, unpack_document};
-use support::{Control, HollowBroker, wait_until};
+use support::{Control, FakeBroker, wait_until};
 
 /// A list of leaves that a test changes.
 struct ListServer {
@@ -58,7 +58,7 @@
 }
 
 /// The next news of the list: a whole one, or what changed.
-fn next_news(broker: &mut HollowBroker) -> Result<LeafDirectory, DirectoryDelta> {
+fn next_news(broker: &mut FakeBroker) -> Result<LeafDirectory, DirectoryDelta> {
     broker.receive_until(|message| match message {
         FeedMessage::WholeDirectory { directory } => {
             Some(Ok(unpack_document(&directory.bytes).expect("a list")))
@@ -77,7 +77,7 @@
     let settings = format!("[directory]\naddress = \"{}\"\npoll_interval_ms = 100\n", list.address);
     let control = Control::start_in("control-1", tempfile::tempdir().unwrap(), &settings);
     wait_until(|| control.rows("SHOW DIRECTORY").len() == 2);
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     assert_eq!(next_news(&mut broker).expect("the whole list first").leaves().len(), 2);
     for names in [&["a", "b", "c"][..], &["a", "c"]] {
         list.list(names);
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -15,7 +15,7 @@
     encode_document, unpack_document,
 };
 use rstest::rstest;
-use support::{Control, HollowBroker, subscription, wait_until};
+use support::{Control, FakeBroker, subscription, wait_until};
 
 fn define(number: u64) -> String {
     format!("DEFINE CALLER portal BUDGET {number} BURST 1")
@@ -26,7 +26,7 @@
     let control = Control::start("control-1");
     control.change(&define(1));
     control.change(&define(2));
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     assert_eq!(broker.follow_to(2), (true, vec![2]));
     control.change(&define(3));
     assert_eq!(broker.follow_to(3), (false, vec![3]));
@@ -38,7 +38,7 @@
     for number in 1..=5 {
         control.change(&define(number));
     }
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 3);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 3);
     assert_eq!(broker.follow_to(5), (false, vec![4, 5]));
 }
 
@@ -48,7 +48,7 @@
     let last = HISTORY_LIMIT as u64 + 2;
     let text: Vec<String> = (1..=last).map(define).collect();
     assert_eq!(control.post(&text.join(";"), None).0, 200);
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 1);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 1);
     assert_eq!(broker.follow_to(last), (true, vec![last]));
 }
 
@@ -56,7 +56,7 @@
 fn lease_names_what_is_accepted_and_the_broker_reports_what_is_in_force() {
     let control = Control::start("control-1");
     control.change(&define(1));
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     assert_eq!(broker.renew(1, 1), 1);
     control.change(&define(2));
     assert_eq!(broker.renew(2, 1), 2);
@@ -68,14 +68,14 @@
 #[test]
 fn brokers_learn_of_each_other_by_deltas() {
     let control = Control::start("control-1");
-    let mut first = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut first = FakeBroker::subscribe(&control, "b1", 1, 0);
     let mut list = BrokerList::default();
     let mut second = None;
     for expected in [1, 2] {
         while list.live().len() != expected {
             list.apply(first.receive_until(broker_delta));
         }
-        second.get_or_insert_with(|| HollowBroker::subscribe(&control, "b2", 2, 0));
+        second.get_or_insert_with(|| FakeBroker::subscribe(&control, "b2", 2, 0));
     }
     let names: Vec<String> = list.live().iter().map(|entry| entry.name.to_string()).collect();
     assert_eq!(names, ["b1", "b2"]);
@@ -96,18 +96,18 @@
 #[test]
 fn removed_broker_is_cut_off_until_it_is_added_again() {
     let control = Control::start("control-1");
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     wait_until(|| !control.rows("SHOW BROKERS").is_empty());
     control.change("REMOVE BROKER b1");
     while broker.receive().is_some() {}
-    let mut again = HollowBroker::subscribe(&control, "b1", 2, 0);
+    let mut again = FakeBroker::subscribe(&control, "b1", 2, 0);
     let refused = again.receive();
     assert!(
         matches!(refused, Some(FeedMessage::Refused { reason: FeedRefusal::Removed, .. })),
         "{refused:?}"
     );
     control.change("ADD BROKER b1");
-    let mut welcome = HollowBroker::subscribe(&control, "b1", 3, 0);
+    let mut welcome = FakeBroker::subscribe(&control, "b1", 3, 0);
     assert_eq!(welcome.follow_to(2), (true, vec![2]));
 }
 
@@ -120,7 +120,7 @@
     #[case] expected: FeedRefusal,
 ) {
     let control = Control::start("control-1");
-    let mut broker = HollowBroker::connect(&control);
+    let mut broker = FakeBroker::connect(&control);
     broker.send(&subscription(version, name, 1, 0));
     let refusal = FeedMessage::Refused { protocol_version: PROTOCOL_VERSION, reason: expected };
     assert_eq!(broker.receive(), Some(refusal));
@@ -133,11 +133,11 @@
 #[case::renewal_before_subscription(&[0, 0, 0, 17, 2, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0])]
 fn broken_frame_ends_the_connection_and_nothing_else(#[case] bytes: &[u8]) {
     let control = Control::start("control-1");
-    let mut broker = HollowBroker::connect(&control);
+    let mut broker = FakeBroker::connect(&control);
     broker.send_bytes(bytes);
     assert_eq!(broker.receive(), None);
     control.change(&define(1));
-    let mut other = HollowBroker::subscribe(&control, "b2", 1, 0);
+    let mut other = FakeBroker::subscribe(&control, "b2", 1, 0);
     assert_eq!(other.follow_to(1), (true, vec![1]));
 }
 
@@ -151,7 +151,7 @@
     encode_document(&BTreeMap::from([(key, counter)])).unwrap().into()
 }
 
-fn charge(broker: &mut HollowBroker, run: u64, sequence: u64, answered: u64) {
+fn charge(broker: &mut FakeBroker, run: u64, sequence: u64, answered: u64) {
     let counters = counters(answered);
     broker.send(&SubscriberMessage::Charges { sequence, run, counters });
     broker.receive_until(|message| match message {
@@ -165,11 +165,11 @@
 #[test]
 fn charges_count_once_over_resends_and_restarts() {
     let control = Control::start("control-1");
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     charge(&mut broker, 1, 1, 10);
     charge(&mut broker, 1, 2, 15);
     charge(&mut broker, 1, 1, 10);
-    let mut again = HollowBroker::subscribe(&control, "b1", 2, 0);
+    let mut again = FakeBroker::subscribe(&control, "b1", 2, 0);
     charge(&mut again, 2, 1, 4);
     charge(&mut again, 1, 2, 15);
     let rows = vec![["portal", "console", "urgent", "19", "57"].map(str::to_owned).to_vec()];
@@ -179,7 +179,7 @@
 }
 
 /// The next threshold that the feed brings.
-fn threshold(broker: &mut HollowBroker) -> u8 {
+fn threshold(broker: &mut FakeBroker) -> u8 {
     broker.receive_until(|message| match message {
         FeedMessage::Threshold { lowest_admitted, .. } => Some(lowest_admitted),
         _ => None,
@@ -187,7 +187,7 @@
 }
 
 /// The next threshold, from a broker that renews its lease so as not to be taken for dead.
-fn threshold_while_renewing(broker: &mut HollowBroker) -> u8 {
+fn threshold_while_renewing(broker: &mut FakeBroker) -> u8 {
     let renewal = SubscriberMessage::Renew { ticket: 1, in_force: 1 };
     broker.send(&renewal);
     loop {
@@ -209,8 +209,8 @@
     control.change("DEFINE CLASS callback OF console PRIORITY 1 QUEUE 8 PRICE 1 DEADLINE 1s FULL");
     let shown = || control.rows("SHOW STATUS")[0].last().cloned();
     assert_eq!(shown().as_deref(), Some("-"));
-    let mut first = HollowBroker::subscribe(&control, "b1", 1, 0);
-    let mut second = HollowBroker::subscribe(&control, "b2", 2, 0);
+    let mut first = FakeBroker::subscribe(&control, "b1", 1, 0);
+    let mut second = FakeBroker::subscribe(&control, "b2", 2, 0);
     assert_eq!([threshold(&mut first), threshold(&mut second)], [ADMIT_ALL; 2]);
     let class = |priority| ClassPressure { priority, offered: 10, refused: 5, waiting: 1 };
     let report = OverloadReport {
@@ -224,7 +224,7 @@
     first.send(&SubscriberMessage::Overload { report });
     assert_eq!([threshold(&mut first), threshold(&mut second)], [1; 2]);
     assert_eq!(shown().as_deref(), Some("console: callback"));
-    let mut third = HollowBroker::subscribe(&control, "b3", 3, 0);
+    let mut third = FakeBroker::subscribe(&control, "b3", 3, 0);
     assert_eq!(threshold(&mut third), 1);
     let lowest_admitted = threshold_while_renewing(&mut second);
     assert_eq!(lowest_admitted, ADMIT_ALL, "nobody reports any more");
@@ -243,7 +243,7 @@
     SubscriberMessage::SlowLeaves { observations: encode_document(&seen).unwrap().into() }
 }
 
-fn next_warnings(broker: &mut HollowBroker) -> Vec<LeafWarning> {
+fn next_warnings(broker: &mut FakeBroker) -> Vec<LeafWarning> {
     broker.receive_until(|message| match message {
         FeedMessage::LeafWarnings { warnings } => Some(decode_document(&warnings.bytes).unwrap()),
         _ => None,
@@ -253,7 +253,7 @@
 #[test]
 fn all_brokers_are_warned_of_a_leaf_that_two_find_slow() {
     let control = Control::start("control-1");
-    let mut brokers = ["b1", "b2", "b3"].map(|name| HollowBroker::subscribe(&control, name, 1, 0));
+    let mut brokers = ["b1", "b2", "b3"].map(|name| FakeBroker::subscribe(&control, name, 1, 0));
     // All of them are subscribed before any of them reports, and the process runs for longer than the
     // requests that are reported.
     for broker in &mut brokers {
@@ -273,7 +273,7 @@
             }]
         );
     }
-    let mut late = HollowBroker::subscribe(&control, "b4", 1, 0);
+    let mut late = FakeBroker::subscribe(&control, "b4", 1, 0);
     assert!(next_warnings(&mut late)[0].for_ms <= 1_000, "one that comes meanwhile is told");
 }
 
@@ -282,7 +282,7 @@
     CrashFinding { digest: RequestDigest(7), route, leaves, verdict, for_ms: 10_000 }
 }
 
-fn next_findings(broker: &mut HollowBroker) -> Vec<CrashFinding> {
+fn next_findings(broker: &mut FakeBroker) -> Vec<CrashFinding> {
     broker.receive_until(|message| match message {
         FeedMessage::CrashFindings { findings } => Some(decode_document(&findings.bytes).unwrap()),
         _ => None,
@@ -292,7 +292,7 @@
 #[test]
 fn all_brokers_are_told_of_a_request_that_crashes_leaves() {
     let control = Control::start("control-1");
-    let mut brokers = ["b1", "b2"].map(|name| HollowBroker::subscribe(&control, name, 1, 0));
+    let mut brokers = ["b1", "b2"].map(|name| FakeBroker::subscribe(&control, name, 1, 0));
     for broker in &mut brokers {
         broker.renew(1, 0);
     }
@@ -304,7 +304,7 @@
     for broker in &mut brokers {
         assert_eq!(next_findings(broker), [crash(3, Verdict::Refused)]);
     }
-    let mut late = HollowBroker::subscribe(&control, "b3", 1, 0);
+    let mut late = FakeBroker::subscribe(&control, "b3", 1, 0);
     let told = next_findings(&mut late).remove(0);
     assert_eq!((told.verdict, told.leaves), (Verdict::Refused, 3));
     assert!(told.for_ms <= 10_000, "for what is left of it");
--- a/crates/control/tests/former_format.rs
+++ b/crates/control/tests/former_format.rs
@@ -18,7 +18,7 @@
 use gingerkeel_domain::identifiers::{ServiceName, SoftwareVersion};
 use gingerkeel_protocol::{FeedMessage, decode_document};
 use rstest::rstest;
-use support::{Control, HollowBroker};
+use support::{Control, FakeBroker};
 use tempfile::TempDir;
 
 /// The document of version 4.
@@ -108,7 +108,7 @@
     assert_eq!(control.rows("SHOW CALLERS")[0][1], "1051");
     assert_eq!(control.rows("SHOW ROLLOUTS")[0][..3], ["search", "v3", "rolled_back"]);
     assert!(control.rows("SHOW REFUSED REQUESTS").is_empty());
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     let catalog: Catalog = broker.receive_until(|message| match message {
         FeedMessage::FullCatalog { catalog } => decode_document(&catalog.bytes).ok(),
         _ => None,
--- a/crates/control/tests/leaf_refusals.rs
+++ b/crates/control/tests/leaf_refusals.rs
@@ -5,7 +5,7 @@
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::leaf_warnings::{LeafObservation, LeafWarning, WarningCause};
 use gingerkeel_protocol::{FeedMessage, SubscriberMessage, decode_document, encode_document};
-use support::HollowBroker;
+use support::FakeBroker;
 use support::cluster::Cluster;
 
 fn observation(leaf: &str) -> LeafObservation {
@@ -18,12 +18,12 @@
     }
 }
 
-fn report(broker: &mut HollowBroker, seen: LeafObservation) {
+fn report(broker: &mut FakeBroker, seen: LeafObservation) {
     let observations = encode_document(&vec![seen]).unwrap().into();
     broker.send(&SubscriberMessage::SlowLeaves { observations });
 }
 
-fn next_warnings(broker: &mut HollowBroker) -> Vec<LeafWarning> {
+fn next_warnings(broker: &mut FakeBroker) -> Vec<LeafWarning> {
     broker.receive_until(|message| match message {
         FeedMessage::LeafWarnings { warnings } => Some(decode_document(&warnings.bytes).unwrap()),
         _ => None,
@@ -35,7 +35,7 @@
 fn refusals_are_told_to_the_brokers_of_all_control_processes() {
     let cluster = Cluster::start(2);
     let subscribe =
-        |member: usize, name| HollowBroker::subscribe(&cluster.members[member].control, name, 1, 0);
+        |member: usize, name| FakeBroker::subscribe(&cluster.members[member].control, name, 1, 0);
     let [mut one, mut two, mut far] = [subscribe(0, "b1"), subscribe(0, "b2"), subscribe(1, "b3")];
     for broker in [&mut one, &mut two, &mut far] {
         broker.renew(1, 0);
--- a/crates/control/tests/operators.rs
+++ b/crates/control/tests/operators.rs
@@ -5,7 +5,7 @@
 use gingerkeel_protocol::SubscriberMessage;
 use gingerkeel_statement::StatementReply;
 use rstest::rstest;
-use support::{Control, HollowBroker, wait_until};
+use support::{Control, FakeBroker, wait_until};
 
 const DEFINE: &str = "DEFINE CALLER portal BUDGET 10 BURST 20";
 
@@ -98,7 +98,7 @@
     let (status, replies) = control.post("EVACUATE ZONE palremo", None);
     assert_eq!(status, 400);
     assert!(refused(&replies).contains("SHOW ZONES"), "{replies:?}");
-    let mut broker = HollowBroker::subscribe(&control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     wait_until(|| !control.rows("SHOW ZONES").is_empty());
     let zone = control.rows("SHOW ZONES")[0][0].clone();
     let revision = control.change(&format!("EVACUATE ZONE {zone}"));
--- a/crates/control/tests/quotas.rs
+++ b/crates/control/tests/quotas.rs
@@ -11,7 +11,7 @@
 use gingerkeel_transport::{ClientConnection, HttpRequest, Limits, block_on};
 use http::{Method, Uri};
 use support::cluster::Cluster;
-use support::{HollowBroker, wait_until};
+use support::{FakeBroker, wait_until};
 
 /// Control processes; without one of two nothing is accepted, and quotas hold all the same.
 const PROCESSES: usize = 2;
@@ -62,7 +62,7 @@
 }
 
 /// The next word of the use of quotas that `select` takes.
-fn told<T>(broker: &mut HollowBroker, select: impl Fn(&FleetUsage) -> Option<T>) -> T {
+fn told<T>(broker: &mut FakeBroker, select: impl Fn(&FleetUsage) -> Option<T>) -> T {
     broker.receive_until(|message| match message {
         FeedMessage::Usage { usage } => select(&decode_document(&usage.bytes).unwrap()),
         _ => None,
@@ -81,13 +81,13 @@
     let cluster = Cluster::start(PROCESSES);
     replace(&cluster, 1, 1);
     let [first, second] = [0, 1].map(|index: usize| &cluster.members[index].control);
-    let mut here = HollowBroker::subscribe(first, "b1", 1, 0);
-    let mut there = HollowBroker::subscribe(second, "b2", 2, 0);
+    let mut here = FakeBroker::subscribe(first, "b1", 1, 0);
+    let mut there = FakeBroker::subscribe(second, "b2", 2, 0);
     sleep(STARTED);
     here.send(&report(1, 2_000));
     told(&mut here, |usage| (usage.heard == 1).then_some(()));
     told(&mut there, |usage| level_below(usage, 0));
-    let mut newcomer = HollowBroker::subscribe(second, "b3", 3, 0);
+    let mut newcomer = FakeBroker::subscribe(second, "b3", 3, 0);
     let first_word = told(&mut newcomer, |usage| Some(usage.clone()));
     assert!(level_below(&first_word, 0).is_some(), "{first_word:?}");
 }
@@ -96,13 +96,13 @@
 fn what_brokers_used_is_known_without_the_control_process_that_heard_it() {
     let mut cluster = Cluster::start(PROCESSES);
     replace(&cluster, 1, 1);
-    let mut here = HollowBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
-    let mut there = HollowBroker::subscribe(&cluster.members[1].control, "b2", 2, 0);
+    let mut here = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
+    let mut there = FakeBroker::subscribe(&cluster.members[1].control, "b2", 2, 0);
     sleep(STARTED);
     here.send(&report(1, 5_000));
     told(&mut there, |usage| level_below(usage, -1_000));
     cluster.kill(0);
-    let mut moved = HollowBroker::subscribe(&cluster.members[1].control, "b1", 1, 0);
+    let mut moved = FakeBroker::subscribe(&cluster.members[1].control, "b1", 1, 0);
     told(&mut moved, |usage| level_below(usage, -1_000));
     told(&mut there, |usage| level_below(usage, -1_000));
 }
@@ -111,14 +111,14 @@
 fn a_control_process_that_starts_anew_learns_what_was_used() {
     let mut cluster = Cluster::start(PROCESSES);
     replace(&cluster, 1, 1);
-    let mut here = HollowBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
+    let mut here = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
     told(&mut here, |_| Some(()));
     cluster.kill(1);
     here.send(&report(1, 5_000));
     told(&mut here, |usage| level_below(usage, -1_000));
     cluster.restart(1);
     wait_until(|| cluster.members[1].control.is_ready());
-    let mut there = HollowBroker::subscribe(&cluster.members[1].control, "b2", 2, 0);
+    let mut there = FakeBroker::subscribe(&cluster.members[1].control, "b2", 2, 0);
     // It does not know what was used before it began, and takes the burst for used.
     told(&mut there, |usage| level_below(usage, 100));
     here.send(&report(2, 5_000));
@@ -129,7 +129,7 @@
 fn operators_see_what_is_left_of_a_quota_at_each_control_process() {
     let cluster = Cluster::start(PROCESSES);
     replace(&cluster, 1, 1);
-    let mut broker = HollowBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
     sleep(STARTED);
     broker.send(&report(1, 2_000));
     for member in &cluster.members {
@@ -145,13 +145,13 @@
 fn a_quota_that_is_taken_away_is_not_told_of_any_more() {
     let cluster = Cluster::start(PROCESSES);
     replace(&cluster, 1, 1);
-    let mut broker = HollowBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
+    let mut broker = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
     told(&mut broker, |_| Some(()));
     broker.send(&report(1, 2_000));
     told(&mut broker, |usage| level_below(usage, 0));
     replace(&cluster, 2, 0);
     wait_until(|| {
-        let mut newcomer = HollowBroker::subscribe(&cluster.members[0].control, "b2", 2, 0);
+        let mut newcomer = FakeBroker::subscribe(&cluster.members[0].control, "b2", 2, 0);
         newcomer.send(&SubscriberMessage::Renew { ticket: 1, in_force: 0 });
         let first = newcomer.receive_until(|message| match message {
             FeedMessage::Usage { .. } => Some(true),
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -20,7 +20,7 @@
 use gingerkeel_transport::{ClientConnection, HttpRequest, Limits, block_on};
 use http::{Method, Uri};
 use rstest::rstest;
-use support::{Control, HollowBroker, wait_until};
+use support::{Control, FakeBroker, wait_until};
 
 /// A configuration with one route to service `search`.
 fn routes() -> String {
@@ -150,13 +150,13 @@
 
 /// A broker that follows the catalog.
 struct Follower {
-    feed: HollowBroker,
+    feed: FakeBroker,
     catalog: Catalog,
 }
 
 impl Follower {
     fn subscribe(control: &Control, name: &str) -> Self {
-        let mut feed = HollowBroker::subscribe(control, name, 1, 0);
+        let mut feed = FakeBroker::subscribe(control, name, 1, 0);
         let catalog = feed.receive_until(|message| match message {
             FeedMessage::FullCatalog { catalog } => {
                 Some(decode_document(&catalog.bytes).expect("a catalog"))
--- a/crates/control/tests/seeds.rs
+++ b/crates/control/tests/seeds.rs
@@ -19,7 +19,7 @@
 use gingerkeel_statement::StatementReply;
 use gingerkeel_transport::{ClientConnection, HttpRequest, Limits, block_on};
 use http::{Method, Uri};
-use support::{Control, HollowBroker, free_addresses, wait_until};
+use support::{Control, FakeBroker, free_addresses, wait_until};
 use tempfile::TempDir;
 
 /// Processes by which the others are found.
@@ -424,7 +424,7 @@
     let cluster = Cluster::start_without_zones();
     cluster.wait_accepted(0, 1);
     assert_eq!(cluster.order_zone(1, Method::PUT, "palermo"), Some(503));
-    let _broker = HollowBroker::subscribe(&cluster.statements(1), "b1", 1, 0);
+    let _broker = FakeBroker::subscribe(&cluster.statements(1), "b1", 1, 0);
     wait_until(|| cluster.zone_state(1).is_some());
     assert_eq!(cluster.order_zone(1, Method::PUT, "palermo"), Some(200));
     assert_eq!(cluster.order_zone(1, Method::PUT, "hall-x"), Some(400));
--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tempfile::TempDir;
 
-use super::{Control, HollowBroker, free_addresses, wait_until};
+use super::{Control, FakeBroker, free_addresses, wait_until};
 
 /// Addresses of a process: statements, feed, peers and routes.
 const ADDRESSES: usize = 4;
@@ -112,7 +112,7 @@
 
     /// The catalog as this process gives it to a new broker.
     pub fn catalog(&self, index: usize) -> Catalog {
-        let mut broker = HollowBroker::subscribe(&self.members[index].control, "checker", 1, 0);
+        let mut broker = FakeBroker::subscribe(&self.members[index].control, "checker", 1, 0);
         broker.receive_until(|message| match message {
             FeedMessage::FullCatalog { catalog } => decode_document(&catalog.bytes).ok(),
             _ => None,
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -198,12 +198,12 @@
 }
 
 /// A broker that only speaks the feed.
-pub struct HollowBroker {
+pub struct FakeBroker {
     stream: TcpStream,
     received: BytesMut,
 }
 
-impl HollowBroker {
+impl FakeBroker {
     /// Connects without a word.
     pub fn connect(control: &Control) -> Self {
         let stream = TcpStream::connect(control.feed).unwrap();
--- a/crates/control/tests/tenants.rs
+++ b/crates/control/tests/tenants.rs
@@ -8,7 +8,7 @@
 use gingerkeel_domain::routes::{KeyDigest, RouteConfiguration, TenantQuota};
 use gingerkeel_protocol::{FeedMessage, unpack_document};
 use rstest::rstest;
-use support::{Control, HollowBroker, wait_until};
+use support::{Control, FakeBroker, wait_until};
 
 const KEY: &str = "k-3f9c81d2";
 
@@ -40,7 +40,7 @@
 
 /// What a broker is told of the routes, as it came and as it is understood.
 fn told(control: &Control) -> (Vec<u8>, RouteConfiguration) {
-    let mut broker = HollowBroker::subscribe(control, "broker", 1, 0);
+    let mut broker = FakeBroker::subscribe(control, "broker", 1, 0);
     let document = broker.receive_until(|message| match message {
         FeedMessage::Routes { configuration } => Some(configuration.bytes),
         _ => None,
