--- a/crates/control/src/entries.rs
+++ b/crates/control/src/entries.rs
@@ -19,7 +19,7 @@
 /// A leaf in the form of one directory.
 pub trait DirectoryEntry: DeserializeOwned {
     /// Name of the field that holds the leaf's identity.
-    const IDENTITY: &'static str;
+    const IDENTITY_FIELD: &'static str;
 
     /// The leaf.
     ///
@@ -92,7 +92,7 @@
 /// The leaf that an unusable entry names, where that can be read.
 fn identity<E: DirectoryEntry>(text: &str) -> Option<LeafIdentity> {
     let mut fields: BTreeMap<String, &RawValue> = serde_json::from_str(text).ok()?;
-    let identity: String = serde_json::from_str(fields.remove(E::IDENTITY)?.get()).ok()?;
+    let identity: String = serde_json::from_str(fields.remove(E::IDENTITY_FIELD)?.get()).ok()?;
     let is_sound = !identity.is_empty() && !identity.contains(NO_TEXT);
     is_sound.then(|| LeafIdentity::of_run(&identity, None))
 }
--- a/crates/control/src/native_directory.rs
+++ b/crates/control/src/native_directory.rs
@@ -17,7 +17,7 @@
 const FIELDS: PageFields = PageFields { entries: "leaves", next: "next" };
 
 impl DirectoryEntry for ListedLeaf {
-    const IDENTITY: &'static str = "identity";
+    const IDENTITY_FIELD: &'static str = "identity";
 
     fn into_leaf(self) -> Result<ListedLeaf, EntryFault> {
         if self.identity.as_str().is_empty() {
