--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -74,14 +74,14 @@
         routes: Some(Rc::new(NativeRoutes)),
         directory: Some(Rc::new(NativeDirectory)),
     };
-    run_with(settings, source, interfaces).await
+    run_with_interfaces(settings, source, interfaces).await
 }
 
 /// As [`run`], with other interfaces besides the own ones.
 ///
 /// # Errors
 /// As [`run`].
-pub async fn run_with(
+pub async fn run_with_interfaces(
     settings: ControlSettings,
     source: Option<SettingsSource<ControlSettings>>,
     interfaces: Interfaces,
