--- a/crates/control/src/directory_polling.rs
+++ b/crates/control/src/directory_polling.rs
@@ -1,7 +1,7 @@
-//! Reading of the outside list of leaves, by the leader alone.
+//! Polling of the external directory of leaves, by the leader only.
 //!
-//! The list accepts few calls and each has its price, so one process reads it for all; what
-//! changed goes through the replicated log.
+//! The directory accepts few calls and each is costly, so one process polls for all; changes go
+//! through the replicated log.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,19 +22,19 @@
 use crate::ports::{DirectoryInterface, InterfaceError};
 use crate::replication_client::ReplicationClient;
 
-/// Time between two looks at whether this process has begun to lead: until the new leader has read the
-/// list, brokers work by what the former one read.
+/// Interval between checks of this process's role. Until a new leader has read the list, brokers use
+/// the list that the former leader read.
 const ROLE_CHECK: Duration = Duration::from_millis(100);
-/// Time between two readings where one is hurried: each call has its price, and configurations may come in
-/// quick succession.
-const LEAST_WAIT: Duration = Duration::from_millis(300);
-/// Time that the directory has to answer one call.
-const CALL_LIMIT: Duration = Duration::from_millis(1500);
-/// Most pages of one list.
-const PAGE_LIMIT: usize = 10_000;
+/// Minimum interval between two readings, also for refresh requests: each call is costly, and
+/// configurations may arrive in quick succession.
+const MIN_INTERVAL: Duration = Duration::from_millis(300);
+/// Time limit for one call to the directory.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum number of pages of one list, against a list that never ends.
+const MAX_PAGES: usize = 10_000;
 
 quick_error! {
-    /// Why the list was not read.
+    /// Why a reading of the list failed.
     #[derive(Debug)]
     enum PollError {
         /// The connection failed.
@@ -42,70 +42,72 @@
             from()
             display("{error}")
         }
-        /// A page was not understood.
+        /// A page is malformed.
         Interface(error: InterfaceError) {
             from()
             display("{error}")
         }
-        /// The directory refused the call.
+        /// The directory answered with another status than 200.
         Status(status: StatusCode) {
             display("status {status}: raise the interval between polls if it is 429")
         }
-        /// No answer came in time.
-        Silent {
+        /// The call timed out.
+        TimedOut {
             display("no answer in time: check that the directory is reachable")
         }
-        /// The next page cannot be asked for.
-        Target(target: String) {
-            display("`{target}` is no path: check the directory")
+        /// The token of the next page gives an invalid request target.
+        InvalidTarget(target: String) {
+            display("`{target}` is not a valid path: check the directory")
         }
-        /// The pages do not end.
-        TooLong {
+        /// The list has more than the maximum number of pages.
+        TooManyPages {
             display("the list does not end: check the directory")
         }
     }
 }
 
-/// The list is to be read at once: something is known that it must tell of.
+/// Request to read the list before the polling interval is over, as when a route names a service
+/// without listed leaves.
 pub struct RefreshRequest;
 
-/// When the list is read next.
-struct Turns {
+/// Schedule of the readings.
+struct PollSchedule {
     interval: Duration,
-    leads: bool,
-    /// Whether it is to be read before the interval is over.
-    hurried: bool,
+    is_leader: bool,
+    /// Whether to read before the interval is over.
+    refresh_requested: bool,
     last: Option<Instant>,
 }
 
-impl Turns {
+impl PollSchedule {
     fn new(interval: Duration) -> Self {
-        Self { interval, leads: false, hurried: false, last: None }
+        Self { interval, is_leader: false, refresh_requested: false, last: None }
     }
 
-    /// The list is to be read before the interval is over.
-    fn hurry(&mut self) {
-        self.hurried = true;
+    /// Requests a reading before the interval is over.
+    fn request_refresh(&mut self) {
+        self.refresh_requested = true;
     }
 
-    /// Whether it is time to read, in a process that leads or does not: it has just begun to lead, was
-    /// hurried, or the interval is over.
-    fn is_due(&mut self, now: Instant, leads: bool) -> bool {
-        let led = std::mem::replace(&mut self.leads, leads);
-        let began = leads && !led;
-        self.hurried |= began;
-        let wait = if self.hurried { self.interval.min(LEAST_WAIT) } else { self.interval };
-        let over = self.last.is_none_or(|last| now.duration_since(last) >= wait);
-        let due = leads && (began || over);
+    /// Whether to read now. A leader reads when it has just been elected, when the interval is over, or
+    /// on a refresh request; other processes never read.
+    fn is_due(&mut self, now: Instant, is_leader: bool) -> bool {
+        let was_leader = std::mem::replace(&mut self.is_leader, is_leader);
+        let elected = is_leader && !was_leader;
+        self.refresh_requested |= elected;
+        let wait =
+            if self.refresh_requested { self.interval.min(MIN_INTERVAL) } else { self.interval };
+        let elapsed = self.last.is_none_or(|last| now.duration_since(last) >= wait);
+        let due = is_leader && (elected || elapsed);
         if due {
-            self.hurried = false;
+            self.refresh_requested = false;
             self.last = Some(now);
         }
         due
     }
 }
 
-/// Reads the list for ever, while this process leads.
+/// Reads the list on schedule while this process is the leader; runs until the process ends.
 pub async fn run(
     settings: DirectorySettings,
     interface: Rc<dyn DirectoryInterface>,
@@ -114,16 +116,16 @@
     mut requests: Rx<RefreshRequest>,
 ) {
     let interval = Duration::from_millis(settings.poll_interval_ms.into());
-    let mut turns = Turns::new(interval);
+    let mut schedule = PollSchedule::new(interval);
     let mut reader = DirectoryReader { address: settings.address, interface, connection: None };
     let mut failing = false;
     loop {
         sleep(ROLE_CHECK.min(interval)).await;
-        let leads = replication.role().await == Some(RoleName::Leader);
+        let is_leader = replication.role().await == Some(RoleName::Leader);
         while requests.try_recv().is_ok() {
-            turns.hurry();
+            schedule.request_refresh();
         }
-        if turns.is_due(Instant::now(), leads) {
+        if schedule.is_due(Instant::now(), is_leader) {
             match reader.read().await {
                 Ok(listed) => {
                     if std::mem::take(&mut failing) {
@@ -139,7 +141,7 @@
                     }
                 }
             }
-        } else if !leads {
+        } else if !is_leader {
             reader.connection = None;
         }
     }
@@ -155,9 +157,9 @@
     async fn read(&mut self) -> Result<DirectoryReading, PollError> {
         let mut reading = DirectoryReading::default();
         let mut page: Option<String> = None;
-        for _ in 0..PAGE_LIMIT {
-            let body = timeout(CALL_LIMIT, self.call(page.as_deref()));
-            let body = body.await.map_err(|_| PollError::Silent)??;
+        for _ in 0..MAX_PAGES {
+            let body = timeout(CALL_TIMEOUT, self.call(page.as_deref()));
+            let body = body.await.map_err(|_| PollError::TimedOut)??;
             let read = self.interface.parse_page(&body)?;
             read.leaves.into_iter().for_each(|leaf| reading.add(leaf));
             read.left_out.into_iter().for_each(|entry| reading.leave_out(entry));
@@ -166,7 +168,7 @@
                 None => return Ok(reading),
             }
         }
-        Err(PollError::TooLong)
+        Err(PollError::TooManyPages)
     }
 
     async fn call(&mut self, page: Option<&str>) -> Result<Bytes, PollError> {
@@ -177,7 +179,7 @@
         let target = self.interface.request_target(page);
         let mut request = HttpRequest::new(Bytes::new());
         let uri: Result<Uri, _> = target.parse();
-        *request.uri_mut() = uri.map_err(|_| PollError::Target(target))?;
+        *request.uri_mut() = uri.map_err(|_| PollError::InvalidTarget(target))?;
         let host = HeaderValue::from_str(&self.address.to_string());
         if let Ok(host) = host {
             request.headers_mut().insert(header::HOST, host);
--- a/crates/control/src/directory_polling/tests.rs
+++ b/crates/control/src/directory_polling/tests.rs
@@ -2,21 +2,22 @@
 
 const INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Milliseconds, whether the process leads, whether it is hurried, and whether the list is read.
+/// Steps: time in ms, whether the process is_leader, whether a refresh is requested, and whether the list
+/// is read.
 fn check(steps: &[(u64, bool, bool, bool)]) {
     let start = Instant::now();
-    let mut turns = Turns::new(INTERVAL);
-    for (at, leads, hurried, read) in steps {
-        if *hurried {
-            turns.hurry();
+    let mut schedule = PollSchedule::new(INTERVAL);
+    for (at, is_leader, refresh, read) in steps {
+        if *refresh {
+            schedule.request_refresh();
         }
-        let due = turns.is_due(start + Duration::from_millis(*at), *leads);
+        let due = schedule.is_due(start + Duration::from_millis(*at), *is_leader);
         assert_eq!(due, *read, "at {at} ms");
     }
 }
 
 #[test]
-fn a_process_that_begins_to_lead_reads_at_once_and_then_at_each_interval() {
+fn new_leader_reads_at_once_and_then_at_each_interval() {
     check(&[
         (0, false, false, false),
         (100, true, false, true),
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_hurried_reading_waits_only_for_the_least_time() {
+fn refresh_request_waits_only_for_the_minimum_interval() {
     check(&[
         (0, true, false, true),
         (100, true, true, false),
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_process_that_does_not_lead_remembers_that_it_was_hurried() {
+fn refresh_request_is_kept_until_the_process_leads() {
     check(&[
         (0, true, false, true),
         (100, false, true, false),
