--- a/crates/control/src/native_directory.rs
+++ b/crates/control/src/native_directory.rs
@@ -1,4 +1,4 @@
-//! The product's own form of a directory of leaves: `GET /v1/leaves`, as JSON.
+//! Native format of the directory of leaves: `GET /v1/leaves`, as JSON.
 
 use bytes::Bytes;
 use gingerkeel_domain::directory::{EntryFault, ListedLeaf};
@@ -7,10 +7,10 @@
 use crate::entries::{DirectoryEntry, PageFields, read_page};
 use crate::ports::{DirectoryInterface, DirectoryPage, InterfaceError};
 
-/// Path of the list.
+/// Path of the list of leaves.
 const LEAVES_PATH: &str = "/v1/leaves";
 
-/// The product's own directory.
+/// Directory of leaves in the native format.
 #[derive(Debug, Default)]
 pub struct NativeDirectory;
 
@@ -23,7 +23,8 @@
         if self.identity.as_str().is_empty() {
             return Err(EntryFault::Malformed);
         }
-        // The product's own directory gives each start an identity of its own.
+        // The native directory gives each start of a leaf a new identity, so the start time is not
+        // part of it.
         let identity = LeafIdentity::of_run(self.identity.as_str(), None);
         Ok(ListedLeaf { identity, ..self })
     }
