--- a/crates/control/src/native_routes.rs
+++ b/crates/control/src/native_routes.rs
@@ -1,5 +1,5 @@
-//! The product's own interface of routes: `PUT` and `GET` of `/v1/routes`, as JSON, and `PUT` and
-//! `DELETE` of `/v1/evacuations/ZONE`, and `PUT` and `GET` of `/v1/rollouts/SERVICE`.
+//! Native HTTP interface for routes: `PUT` and `GET` of `/v1/routes`, as JSON, `PUT` and `DELETE` of
+//! `/v1/evacuations/ZONE`, and `PUT` and `GET` of `/v1/rollouts/SERVICE`.
 
 mod document;
 
@@ -15,15 +15,15 @@
 use self::document::ConfigurationDocument;
 use crate::ports::{InterfaceError, RouteAnswer, RouteCall, RouteInterface};
 
-/// Path of the configuration.
+/// Path of the route configuration.
 const ROUTES_PATH: &str = "/v1/routes";
-/// Beginning of the path of a zone's evacuation; its name follows.
+/// Prefix of the path of a zone's evacuation, followed by the name of the zone.
 const EVACUATIONS_PATH: &str = "/v1/evacuations/";
 
-/// Beginning of the path of a service's roll-out; its name follows.
+/// Prefix of the path of a service's roll-out, followed by the name of the service.
 const ROLLOUTS_PATH: &str = "/v1/rollouts/";
 
-/// The order of a roll-out.
+/// JSON body of a roll-out order.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RolloutDocument {
@@ -31,24 +31,25 @@
     within_ms: u64,
 }
 
-/// The product's own interface.
+/// Native JSON format of the calls.
 #[derive(Debug, Default)]
 pub struct NativeRoutes;
 
 impl RouteInterface for NativeRoutes {
     fn parse_call(&self, request: &HttpRequest) -> Result<RouteCall, InterfaceError> {
         if let Some(zone) = request.uri().path().strip_prefix(EVACUATIONS_PATH) {
-            return Ok(evacuation(request.method(), zone));
+            return Ok(parse_evacuation(request.method(), zone));
         }
         if let Some(service) = request.uri().path().strip_prefix(ROLLOUTS_PATH) {
-            return rollout(request, ServiceName::new(service));
+            return parse_rollout(request, ServiceName::new(service));
         }
         if request.uri().path() != ROUTES_PATH {
             return Ok(RouteCall::Unknown);
         }
         match *request.method() {
             Method::GET => Ok(RouteCall::Read),
-            Method::PUT => read(request.body()).map(|routes| RouteCall::Replace(Box::new(routes))),
+            Method::PUT => parse_configuration(request.body())
+                .map(|routes| RouteCall::Replace(Box::new(routes))),
             _ => Ok(RouteCall::Unknown),
         }
     }
@@ -88,7 +89,7 @@
     }
 }
 
-fn evacuation(method: &Method, zone: &str) -> RouteCall {
+fn parse_evacuation(method: &Method, zone: &str) -> RouteCall {
     match *method {
         Method::PUT => RouteCall::Evacuate(ZoneName::new(zone)),
         Method::DELETE => RouteCall::Restore(ZoneName::new(zone)),
@@ -96,7 +97,7 @@
     }
 }
 
-fn rollout(request: &HttpRequest, service: ServiceName) -> Result<RouteCall, InterfaceError> {
+fn parse_rollout(request: &HttpRequest, service: ServiceName) -> Result<RouteCall, InterfaceError> {
     match *request.method() {
         Method::GET => Ok(RouteCall::ReadRollout(service)),
         Method::PUT => {
@@ -110,7 +111,7 @@
     }
 }
 
-fn read(body: &Bytes) -> Result<AcceptedRoutes, InterfaceError> {
+fn parse_configuration(body: &Bytes) -> Result<AcceptedRoutes, InterfaceError> {
     let document: ConfigurationDocument = serde_json::from_slice(body)
         .map_err(|error| InterfaceError::unreadable("configuration", &error))?;
     Ok(AcceptedRoutes { configuration: document.configuration()?, document: body.to_vec() })
--- a/crates/control/src/native_routes/document.rs
+++ b/crates/control/src/native_routes/document.rs
@@ -1,4 +1,5 @@
-//! A configuration of routes as operators write it: like the product's own, but with keys in the clear.
+//! JSON document of a route configuration as operators send it: the domain's form, but with keys in
+//! plain text instead of digests.
 
 use gingerkeel_domain::identifiers::TenantName;
 use gingerkeel_domain::routes::{
@@ -9,7 +10,7 @@
 
 use crate::ports::InterfaceError;
 
-/// The document.
+/// A route configuration with the tenants' keys in plain text.
 #[derive(Deserialize)]
 pub struct ConfigurationDocument {
     version: RouteVersion,
@@ -23,7 +24,7 @@
 #[derive(Deserialize)]
 struct TenantDocument {
     name: TenantName,
-    /// The keys themselves.
+    /// Keys in plain text.
     keys: Vec<String>,
     #[serde(default)]
     priority: Option<u32>,
@@ -41,10 +42,10 @@
 }
 
 impl ConfigurationDocument {
-    /// The configuration, which knows digests of the keys only.
+    /// Converts the document to a configuration that holds only digests of the keys.
     ///
     /// # Errors
-    /// An [`InterfaceError`] when a key is empty.
+    /// An [`InterfaceError`] if a key is empty.
     pub fn configuration(self) -> Result<RouteConfiguration, InterfaceError> {
         let tenants = self.tenants.into_iter().map(TenantDocument::tenant);
         Ok(RouteConfiguration {
--- a/crates/control/src/ports.rs
+++ b/crates/control/src/ports.rs
@@ -1,6 +1,7 @@
-//! What a control process speaks with operators of routes and with the directory of leaves.
+//! Traits for the interfaces to operators of routes and to the external directory of leaves.
 //!
-//! The process decides; an implementation of these traits only translates.
+//! Implementations only translate between a wire format and these types; the control process makes
+//! all decisions.
 
 use std::time::Duration;
 
@@ -14,10 +15,10 @@
 use serde_json::error::Category;
 
 quick_error! {
-    /// A message that cannot be understood.
+    /// Why a request or a page was rejected by its parser.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InterfaceError {
-        /// What is wrong and what to do.
+        /// The message is malformed; the reason includes the remedy.
         Malformed(reason: String) {
             display("{reason}")
         }
@@ -25,7 +26,8 @@
 }
 
 impl InterfaceError {
-    /// A document that cannot be read. The parser's own words may quote the document, and with it a key.
+    /// Creates the error for a document that is not valid JSON or lacks a field. The message of the
+    /// JSON parser is left out because it may quote the document, including a tenant's key.
     pub fn unreadable(document: &str, error: &serde_json::Error) -> Self {
         let fault = match error.classify() {
             Category::Io | Category::Syntax => "it is no valid JSON",
@@ -39,87 +41,87 @@
     }
 }
 
-/// What an operator wants.
+/// A parsed call of an operator.
 pub enum RouteCall {
-    /// Replace the configuration of routes.
+    /// Replace the route configuration.
     Replace(Box<AcceptedRoutes>),
-    /// Read it.
+    /// Read the route configuration.
     Read,
-    /// Evacuate a zone.
+    /// Evacuate a zone: send no more requests to its leaves.
     Evacuate(ZoneName),
-    /// Take the evacuation of a zone back.
+    /// Restore an evacuated zone.
     Restore(ZoneName),
-    /// Move the requests of a service to another software version.
+    /// Begin a roll-out: move the requests of a service to another software version.
     BeginRollout {
         /// The service.
         service: ServiceName,
-        /// The version.
+        /// The version to roll out.
         target: SoftwareVersion,
-        /// Time within which they are to have moved.
+        /// Time within which all requests are to be moved.
         within: Duration,
     },
     /// Read the newest roll-out of a service.
     ReadRollout(ServiceName),
-    /// Something that there is not.
+    /// Unknown path or method.
     Unknown,
 }
 
-/// What an operator is told.
+/// The answer to a call of an operator.
 pub enum RouteAnswer<'answer> {
-    /// This version or a higher one is accepted.
+    /// The call's version or a higher one is accepted.
     Accepted(RouteVersion),
-    /// The configuration, as the operator sent it.
+    /// The accepted configuration, with the document as the operator sent it.
     Current(&'answer AcceptedRoutes),
-    /// There is no configuration yet.
+    /// No configuration was accepted yet.
     Empty,
-    /// The order about a zone is accepted.
+    /// The order to evacuate or restore a zone is accepted.
     ZoneOrdered,
-    /// The order of a roll-out is accepted.
+    /// The roll-out order is accepted.
     RolloutOrdered,
     /// The newest roll-out of a service.
     Rollout(&'answer Rollout),
-    /// There was never a roll-out of the service.
+    /// The service has never been rolled out.
     NoRollout,
-    /// Another order is under way; this one has changed nothing.
+    /// The order conflicts with another one in progress and changed nothing.
     Conflict(String),
-    /// The call is not valid and has changed nothing.
+    /// The call is invalid and changed nothing.
     Invalid(String),
-    /// The outcome is not known, or the newest state is not: ask again.
+    /// No quorum confirmed the call in time, or its outcome is unknown: the operator retries.
     Unavailable(String),
-    /// There is no such call.
+    /// Unknown path or method.
     Unknown,
 }
 
-/// The operators' calls about routes and zones.
+/// Wire format of the operators' calls about routes, zones and roll-outs.
 pub trait RouteInterface {
-    /// Understands a call.
+    /// Parses a call.
     ///
     /// # Errors
-    /// An [`InterfaceError`] when the body is not a whole configuration.
+    /// An [`InterfaceError`] if the body is malformed.
     fn parse_call(&self, request: &HttpRequest) -> Result<RouteCall, InterfaceError>;
 
-    /// Gives the answer its form.
+    /// Encodes an answer as an HTTP response.
     fn answer(&self, answer: RouteAnswer<'_>) -> HttpResponse;
 }
 
-/// A page of the list of leaves.
+/// A page of the directory's list of leaves.
 pub struct DirectoryPage {
-    /// The leaves of the page.
+    /// The usable leaves of the page.
     pub leaves: Vec<ListedLeaf>,
-    /// Its entries that name no usable leaf.
+    /// Entries of the page that name no usable leaf.
     pub left_out: Vec<LeftOutEntry>,
-    /// Name of the next page; none on the last.
+    /// Token of the next page; none on the last page.
     pub next: Option<String>,
 }
 
-/// The outside directory of leaves.
+/// Wire format of the external directory of leaves.
 pub trait DirectoryInterface {
-    /// The path and query by which a page is asked for; the first when none is named.
+    /// Path and query of the request for a page; for the first page without a token.
     fn request_target(&self, page: Option<&str>) -> String;
 
-    /// Understands a page.
+    /// Parses a page.
     ///
     /// # Errors
-    /// An [`InterfaceError`] when the body is no page.
+    /// An [`InterfaceError`] if the body has no readable list of entries.
     fn parse_page(&self, body: &Bytes) -> Result<DirectoryPage, InterfaceError>;
 }
