--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP interface: `POST /v1/statements` with a text of statements.
+//! Operators' HTTP interface: `POST /v1/statements` with statements as text.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,17 +23,17 @@
 use crate::cluster_task::ClusterMessage;
 use crate::order_checks::OrderChecks;
 
-/// Longest name of a session, in bytes.
-const SESSION_NAME_LIMIT: usize = 64;
-/// Time that a statement has; then its outcome is unknown.
-const STATEMENT_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum length of a session name, in bytes.
+const MAX_SESSION_NAME_BYTES: usize = 64;
+/// Time limit for a statement; after it the outcome is unknown.
+const STATEMENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts operators' connections for ever.
+/// Accepts operators' connections until the process ends.
 pub async fn serve(listener: TcpListener, checks: Rc<OrderChecks>, cluster: Tx<ClusterMessage>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, checks.clone(), cluster.clone()));
+                monoio::spawn(serve_connection(stream, checks.clone(), cluster.clone()));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "operators", %error);
@@ -43,12 +43,13 @@
     }
 }
 
-async fn converse(stream: TcpStream, checks: Rc<OrderChecks>, cluster: Tx<ClusterMessage>) {
+async fn serve_connection(stream: TcpStream, checks: Rc<OrderChecks>, cluster: Tx<ClusterMessage>) {
     let mut connection = ServerConnection::new(stream, Limits::default());
     if let Err(error) = answer_requests(&mut connection, &checks, &cluster).await {
         debug!(event = "operator_connection_ended", %error);
-        // The peer may be gone; then there is nobody to tell.
-        let _ = connection.respond(plain(StatusCode::BAD_REQUEST, &error.to_string())).await;
+        // Best effort: the peer may have closed the connection.
+        let _ =
+            connection.respond(text_response(StatusCode::BAD_REQUEST, &error.to_string())).await;
     }
 }
 
@@ -70,17 +71,23 @@
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
     if request.method() != Method::POST || request.uri().path() != STATEMENTS_PATH {
-        return plain(StatusCode::NOT_FOUND, "unknown path: POST statements to /v1/statements");
+        return text_response(
+            StatusCode::NOT_FOUND,
+            "unknown path: POST statements to /v1/statements",
+        );
     }
     let Some(first) = command_id(request.headers()) else {
         let text = format!(
             "{SESSION_HEADER} or {SEQUENCE_HEADER} is not usable: send both, a name of at most \
-             {SESSION_NAME_LIMIT} letters, digits, '-' and '_', and a number from 1"
+             {MAX_SESSION_NAME_BYTES} letters, digits, '-' and '_', and a number from 1"
         );
-        return plain(StatusCode::BAD_REQUEST, &text);
+        return text_response(StatusCode::BAD_REQUEST, &text);
     };
     let Ok(text) = String::from_utf8(request.into_body().to_vec()) else {
-        return plain(StatusCode::BAD_REQUEST, "the text is not UTF-8: send statements as UTF-8");
+        return text_response(
+            StatusCode::BAD_REQUEST,
+            "the text is not UTF-8: send statements as UTF-8",
+        );
     };
     let replies = match parse(&text) {
         Ok(statements) => execute_all(statements, first, checks, cluster).await,
@@ -100,8 +107,8 @@
     if replies.succeeded() { StatusCode::OK } else { StatusCode::BAD_REQUEST }
 }
 
-/// Identity of the first change: as the headers say, or one that is never used again when there
-/// are none. None when they are not usable.
+/// Command identity of the first change, from the headers; without headers, a random session that is
+/// never reused. `None` if the headers are invalid.
 fn command_id(headers: &HeaderMap) -> Option<CommandId> {
     let text = |name| headers.get(name).map(|value| value.to_str().unwrap_or_default());
     match (text(SESSION_HEADER), text(SEQUENCE_HEADER)) {
@@ -112,7 +119,7 @@
         (Some(session), Some(sequence)) => {
             let allowed = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
             let usable = !session.is_empty()
-                && session.len() <= SESSION_NAME_LIMIT
+                && session.len() <= MAX_SESSION_NAME_BYTES
                 && session.chars().all(allowed);
             let sequence = sequence.parse().ok().filter(|sequence| *sequence > 0)?;
             usable.then(|| CommandId { session: SessionName::new(session), sequence })
@@ -131,7 +138,7 @@
     let mut id = first;
     for statement in statements {
         let reply = match statement {
-            Statement::Show(subject) => look(subject, cluster).await,
+            Statement::Show(subject) => show(subject, cluster).await,
             Statement::Change { change, based_on } => {
                 let reply = match checks.complete(change, cluster).await {
                     Ok(change) => execute_change(change, based_on, id.clone(), cluster).await,
@@ -149,11 +156,11 @@
     replies
 }
 
-async fn look(subject: Subject, cluster: &Tx<ClusterMessage>) -> StatementReply {
+async fn show(subject: Subject, cluster: &Tx<ClusterMessage>) -> StatementReply {
     let (reply, receiver) = oneshot::channel();
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::Show { subject, reply });
-    let error = match timeout(STATEMENT_LIMIT, receiver).await {
+    let error = match timeout(STATEMENT_TIMEOUT, receiver).await {
         Ok(Ok(Ok(table))) => return table,
         Ok(Ok(Err(error))) => error.to_string(),
         _ => "the look-up took too long: ask another control process".to_owned(),
@@ -171,7 +178,7 @@
     let request = ChangeRequest { id: id.clone(), based_on, change };
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::Change { request, reply });
-    let error = match timeout(STATEMENT_LIMIT, receiver).await {
+    let error = match timeout(STATEMENT_TIMEOUT, receiver).await {
         Ok(Ok(Ok(ChangeOutcome::Accepted { revision, .. }))) => {
             return StatementReply::Accepted { revision: revision.0 };
         }
@@ -184,7 +191,7 @@
     StatementReply::Unknown { error }
 }
 
-fn plain(status: StatusCode, text: &str) -> HttpResponse {
+fn text_response(status: StatusCode, text: &str) -> HttpResponse {
     respond(status, Bytes::copy_from_slice(text.as_bytes()))
 }
 
--- a/crates/control/src/route_operators.rs
+++ b/crates/control/src/route_operators.rs
@@ -1,4 +1,4 @@
-//! The operators' calls about routes and zones.
+//! Serves operators' calls about routes, zones and roll-outs.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
 use crate::rollout_orders::{self, RolloutOrderError};
 use crate::zone_orders::{ZoneOrder, ZoneOrderError, carry_out, check_zone};
 
-/// Time that a call has; then its outcome is unknown.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit for a call; after it the outcome is unknown.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts operators' connections for ever.
+/// Accepts operators' connections until the process ends.
 pub async fn serve(
     listener: TcpListener,
     interface: Rc<dyn RouteInterface>,
@@ -34,7 +34,12 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, interface.clone(), checks.clone(), cluster.clone()));
+                monoio::spawn(serve_connection(
+                    stream,
+                    interface.clone(),
+                    checks.clone(),
+                    cluster.clone(),
+                ));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "routes", %error);
@@ -44,7 +49,7 @@
     }
 }
 
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     interface: Rc<dyn RouteInterface>,
     checks: Rc<OrderChecks>,
@@ -56,7 +61,7 @@
     {
         debug!(event = "operator_connection_ended", %error);
         let answer = interface.answer(RouteAnswer::Invalid(error.to_string()));
-        // The peer may be gone; then there is nobody to tell.
+        // Best effort: the peer may have closed the connection.
         let _ = connection.respond(answer).await;
     }
 }
@@ -81,20 +86,22 @@
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
     match interface.parse_call(request) {
-        Ok(RouteCall::Replace(routes)) => replace(*routes, interface, &checks.zones, cluster).await,
+        Ok(RouteCall::Replace(routes)) => {
+            replace_routes(*routes, interface, &checks.zones, cluster).await
+        }
         Ok(RouteCall::Evacuate(zone)) => match check_zone(&zone, &checks.zones, cluster).await {
-            Ok(()) => order(ZoneOrder { zone, evacuate: true }, interface, cluster).await,
-            Err(error) => zone_refused(&zone, &error, interface),
+            Ok(()) => order_zone(ZoneOrder { zone, evacuate: true }, interface, cluster).await,
+            Err(error) => answer_zone_error(&zone, &error, interface),
         },
         Ok(RouteCall::Restore(zone)) => {
-            order(ZoneOrder { zone, evacuate: false }, interface, cluster).await
+            order_zone(ZoneOrder { zone, evacuate: false }, interface, cluster).await
         }
         Ok(RouteCall::BeginRollout { service, target, within }) => {
             let order = rollout_orders::order(service, target, within, checks.limit);
             begin_rollout(&order, interface, cluster).await
         }
         Ok(RouteCall::ReadRollout(service)) => read_rollout(service, interface, cluster).await,
-        Ok(RouteCall::Read) => read(interface, cluster).await,
+        Ok(RouteCall::Read) => read_routes(interface, cluster).await,
         Ok(RouteCall::Unknown) => interface.answer(RouteAnswer::Unknown),
         Err(error) => {
             info!(event = "routes_refused", %error);
@@ -103,7 +110,7 @@
     }
 }
 
-async fn replace(
+async fn replace_routes(
     routes: AcceptedRoutes,
     interface: &dyn RouteInterface,
     zones: &ConfiguredZones,
@@ -119,7 +126,7 @@
     let message = ClusterMessage::ReplaceRoutes { routes: Arc::new(routes), reply };
     // The cluster task lives as long as the process.
     let _ = cluster.send(message);
-    let error = match timeout(CALL_LIMIT, receiver).await {
+    let error = match timeout(CALL_TIMEOUT, receiver).await {
         Ok(Ok(Ok(accepted))) => {
             info!(event = "routes_acknowledged", version, accepted = accepted.0);
             return interface.answer(RouteAnswer::Accepted(accepted));
@@ -131,7 +138,7 @@
     interface.answer(RouteAnswer::Unavailable(error))
 }
 
-async fn order(
+async fn order_zone(
     order: ZoneOrder,
     interface: &dyn RouteInterface,
     cluster: &Tx<ClusterMessage>,
@@ -141,11 +148,11 @@
             info!(event = "zone_ordered", zone = %order.zone, evacuate = order.evacuate);
             interface.answer(RouteAnswer::ZoneOrdered)
         }
-        Err(error) => zone_refused(&order.zone, &error, interface),
+        Err(error) => answer_zone_error(&order.zone, &error, interface),
     }
 }
 
-fn zone_refused(
+fn answer_zone_error(
     zone: &ZoneName,
     error: &ZoneOrderError,
     interface: &dyn RouteInterface,
@@ -194,11 +201,11 @@
     }
 }
 
-async fn read(interface: &dyn RouteInterface, cluster: &Tx<ClusterMessage>) -> HttpResponse {
+async fn read_routes(interface: &dyn RouteInterface, cluster: &Tx<ClusterMessage>) -> HttpResponse {
     let (reply, receiver) = oneshot::channel();
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::ReadRoutes { reply });
-    match timeout(CALL_LIMIT, receiver).await {
+    match timeout(CALL_TIMEOUT, receiver).await {
         Ok(Ok(Ok(Some(routes)))) => interface.answer(RouteAnswer::Current(&routes)),
         Ok(Ok(Ok(None))) => interface.answer(RouteAnswer::Empty),
         Ok(Ok(Err(error))) => interface.answer(RouteAnswer::Unavailable(error.to_string())),
