--- a/crates/control/src/tables/catalog.rs
+++ b/crates/control/src/tables/catalog.rs
@@ -9,7 +9,7 @@
 
 use super::table;
 
-/// Services, a row each.
+/// One row per service, with its published snapshot and the shards of its newest partition.
 pub fn services(catalog: &Catalog) -> StatementReply {
     let rows = catalog.services().iter().map(|(name, service)| {
         let snapshot = service.published().map_or("none".to_owned(), |shown| shown.to_string());
@@ -28,7 +28,7 @@
     service.partition(service.newest_epoch()).map_or(0, |partition| partition.shards.len())
 }
 
-/// The services of this name, or all.
+/// The service of this name, or all services without a name.
 fn selected<'a>(
     catalog: &'a Catalog,
     name: Option<&'a ServiceName>,
@@ -37,7 +37,7 @@
     catalog.services().iter().filter(move |(candidate, _)| wanted(candidate))
 }
 
-/// Classes, a row each, highest priority first.
+/// One row per class, in descending priority within a service.
 pub fn classes(catalog: &Catalog, service: Option<&ServiceName>) -> StatementReply {
     let columns = ["service", "class", "priority", "queue", "price", "deadline", "answer"];
     let rows = selected(catalog, service).flat_map(|(name, service)| {
@@ -56,25 +56,30 @@
     table(&columns, rows.collect())
 }
 
-/// Shards of the newest partition map, a row each.
+/// One row per shard of the newest partition map.
 pub fn shards(catalog: &Catalog, service: Option<&ServiceName>) -> StatementReply {
     let rows = selected(catalog, service).flat_map(|(name, service)| {
         let newest = service.partition(service.newest_epoch()).into_iter();
         newest.flat_map(move |map| {
             map.shards.iter().map(move |(shard, leaves)| {
-                vec![name.to_string(), map.epoch.to_string(), shard.to_string(), listed(leaves)]
+                vec![
+                    name.to_string(),
+                    map.epoch.to_string(),
+                    shard.to_string(),
+                    join_leaves(leaves),
+                ]
             })
         })
     });
     table(&["service", "epoch", "shard", "leaves"], rows.collect())
 }
 
-fn listed(leaves: &[LeafId]) -> String {
+fn join_leaves(leaves: &[LeafId]) -> String {
     let leaves: Vec<String> = leaves.iter().map(LeafId::to_string).collect();
     leaves.join(", ")
 }
 
-/// Published snapshots that are retained, a row each, newest first.
+/// One row per published snapshot that is retained, newest first.
 pub fn versions(catalog: &Catalog, service: Option<&ServiceName>) -> StatementReply {
     let rows = selected(catalog, service).flat_map(|(name, service)| {
         service.published_snapshots().iter().enumerate().map(|(age, snapshot)| {
@@ -97,7 +102,7 @@
     }
 }
 
-/// Leaves, a row each.
+/// One row per configured leaf, with the result of the last health poll.
 pub fn leaves(catalog: &Catalog, hints: &LeafHints) -> StatementReply {
     let columns = ["leaf", "address", "region", "zone", "slots", "connections", "state", "health"];
     let rows = catalog.leaves().values().map(|leaf| {
@@ -131,7 +136,7 @@
     }
 }
 
-/// Callers, a row each.
+/// One row per caller, with its budget.
 pub fn callers(catalog: &Catalog) -> StatementReply {
     let rows = catalog
         .callers()
--- a/crates/control/src/tables/cluster.rs
+++ b/crates/control/src/tables/cluster.rs
@@ -9,20 +9,20 @@
 
 use super::table;
 
-/// What is shown where nothing is known.
-const NOTHING: &str = "-";
+/// Placeholder for an unknown value.
+const UNKNOWN: &str = "-";
 
-/// Changes that are shown.
+/// Maximum number of changes in the table.
 const CHANGES_SHOWN: usize = 20;
 
-/// Brokers, live or configured, a row each.
+/// One row per live or configured broker.
 pub fn brokers(state: &ClusterState) -> StatementReply {
     let live = state.members().brokers();
     let configured = state.catalog().brokers();
     let names: BTreeSet<&BrokerName> = live.keys().chain(configured.keys()).collect();
     let rows = names.into_iter().map(|name| {
         let record = live.get(name);
-        let shown = |text: Option<String>| text.unwrap_or_else(|| NOTHING.to_owned());
+        let shown = |text: Option<String>| text.unwrap_or_else(|| UNKNOWN.to_owned());
         vec![
             name.to_string(),
             shown(record.map(|record| record.placement.region.to_string())),
@@ -37,14 +37,14 @@
     table(&columns, rows.collect())
 }
 
-/// Control processes, live or configured, a row each.
+/// One row per live or configured control process.
 pub fn controls(state: &ClusterState) -> StatementReply {
     let live = state.members().controls();
     let configured = state.catalog().controls();
     let names: BTreeSet<&ControlName> = live.keys().chain(configured.keys()).collect();
     let rows = names.into_iter().map(|name| {
         let record = live.get(name);
-        let address = |text: Option<String>| text.unwrap_or_else(|| NOTHING.to_owned());
+        let address = |text: Option<String>| text.unwrap_or_else(|| UNKNOWN.to_owned());
         let fed = state.members().brokers().values().filter(|broker| &broker.control == name);
         let wanted = configured.get(name).map_or(MemberState::Active, |control| control.state);
         vec![
@@ -67,7 +67,7 @@
     }
 }
 
-/// Charges, a row for each caller and class.
+/// One row per caller, service and class, with the answered requests and the units charged.
 pub fn charges(state: &ClusterState, caller: Option<&CallerName>) -> StatementReply {
     let totals = state.charges().totals().iter();
     let wanted = totals.filter(|(key, _)| caller.is_none_or(|caller| caller == &key.caller));
@@ -83,7 +83,7 @@
     table(&["caller", "service", "class", "answered", "units"], rows.collect())
 }
 
-/// One row about the cluster.
+/// One row that summarizes the cluster.
 pub fn status(state: &ClusterState) -> StatementReply {
     let accepted = state.catalog().revision();
     let members = state.members();
@@ -108,7 +108,7 @@
     table(&columns, vec![row])
 }
 
-/// The lowest class that brokers admit, of each service of which they do not admit all.
+/// The lowest class that brokers admit, for each service with an admission threshold.
 fn lowest_admitted(state: &ClusterState) -> String {
     let thresholds = state.thresholds().services().iter();
     let named = thresholds.map(|(name, threshold)| {
@@ -121,10 +121,10 @@
         format!("{name}: {class}")
     });
     let named: Vec<String> = named.collect();
-    if named.is_empty() { NOTHING.to_owned() } else { named.join(", ") }
+    if named.is_empty() { UNKNOWN.to_owned() } else { named.join(", ") }
 }
 
-/// The revision accepted and that in force everywhere, with a row for each broker that lags.
+/// The accepted revision and the one in force on all brokers, with one row per lagging broker.
 pub fn revision(state: &ClusterState) -> StatementReply {
     let accepted = state.catalog().revision();
     let everywhere = state.members().in_force_everywhere(accepted);
@@ -144,13 +144,13 @@
         })
         .collect();
     if rows.is_empty() {
-        rows.push(row(NOTHING, NOTHING.to_owned(), NOTHING));
+        rows.push(row(UNKNOWN, UNKNOWN.to_owned(), UNKNOWN));
     }
     let columns = ["accepted", "in force everywhere", "lagging broker", "has in force", "control"];
     table(&columns, rows)
 }
 
-/// The last accepted changes, newest first.
+/// One row per recently accepted change, newest first.
 pub fn changes(state: &ClusterState) -> StatementReply {
     let rows = state.history().newest_first().take(CHANGES_SHOWN).map(|accepted| {
         vec![
--- a/crates/control/src/tables/mod.rs
+++ b/crates/control/src/tables/mod.rs
@@ -1,4 +1,4 @@
-//! Look-ups as tables.
+//! Tables that answer operators' `SHOW` statements.
 
 mod catalog;
 mod cluster;
@@ -15,10 +15,10 @@
 use gingerkeel_domain::quota::TenantLevel;
 use gingerkeel_statement::{StatementReply, Subject};
 
-/// How the quota of a tenant stands; none while it is far from used up.
+/// Looks up a tenant's quota level; `None` while the quota is far from used up.
 pub type QuotaLevels<'state> = &'state dyn Fn(&TenantName) -> Option<TenantLevel>;
 
-/// The table of a look-up.
+/// Renders the table of a subject.
 pub fn show(
     state: &ClusterState,
     quota_levels: QuotaLevels<'_>,
--- a/crates/control/src/tables/refused_requests.rs
+++ b/crates/control/src/tables/refused_requests.rs
@@ -1,4 +1,4 @@
-//! Table of the requests that are refused because leaves crash under them.
+//! Table of requests that brokers refuse because they crash leaves.
 
 use gingerkeel_domain::cluster::{ClusterState, RefusedRequest};
 use gingerkeel_domain::crash_suspects::RequestDigest;
@@ -6,8 +6,8 @@
 
 use super::table;
 
-/// The requests that no broker sends to leaves, a row each, with the trials that were granted and the time until the
-/// next one.
+/// One row per refused request, with the number of trials granted and the time in ms until the next
+/// trial.
 pub fn refused_requests(state: &ClusterState) -> StatementReply {
     let columns = ["request", "route", "leaves ended", "trials", "next trial in ms"];
     let rows = state.refused_requests().all().map(|(digest, refused)| row(state, digest, refused));
--- a/crates/control/src/tables/rollouts.rs
+++ b/crates/control/src/tables/rollouts.rs
@@ -6,8 +6,9 @@
 
 use super::table;
 
-/// The newest roll-out of each service, a row each, with the answers of the version and of present leaves that decide
-/// on it, and how many brokers do not have its last stage in force yet.
+/// One row per service with its newest roll-out: the answers of leaves with the target version and
+/// with the present version, which decide on the roll-out, and the number of brokers on which the
+/// last stage is not in force yet.
 pub fn rollouts(state: &ClusterState) -> StatementReply {
     let rows = state.catalog().rollouts().all().map(|rollout| row(state, rollout)).collect();
     let columns = [
--- a/crates/control/src/tables/routes.rs
+++ b/crates/control/src/tables/routes.rs
@@ -1,4 +1,4 @@
-//! Tables of routes and of the directory of leaves.
+//! Tables of routes and of the external directory of leaves.
 
 use gingerkeel_domain::directory::{LeafAvailability, LeafDirectory, ListedLeaf};
 use gingerkeel_domain::identifiers::RegionName;
@@ -7,7 +7,7 @@
 
 use super::table;
 
-/// Routes of the configuration accepted, a row each.
+/// One row per route of the accepted configuration.
 pub fn routes(state: &RouteState) -> StatementReply {
     let accepted = state.current();
     let version = state.version().0;
@@ -47,7 +47,7 @@
     ]
 }
 
-/// The regions that a policy allows.
+/// The regions that a policy allows, separated by commas; `all` without a restriction.
 pub fn regions(policy: &RegionPolicy) -> String {
     if !policy.is_restricted() {
         return "all".to_owned();
@@ -75,7 +75,7 @@
     }
 }
 
-/// Leaves of the outside directory, a row each.
+/// One row per leaf of the external directory.
 pub fn directory(directory: &LeafDirectory) -> StatementReply {
     let version = directory.version().0;
     let row = |leaf: &ListedLeaf| {
--- a/crates/control/src/tables/tenants.rs
+++ b/crates/control/src/tables/tenants.rs
@@ -7,11 +7,11 @@
 use super::routes::regions;
 use super::{QuotaLevels, table};
 
-/// Thousandths of a whole.
+/// Thousandths per unit.
 const THOUSAND: f64 = 1_000.0;
 
-/// Tenants of the configuration accepted, a row each. Of keys it tells how many there are; of the use of
-/// quotas what this process told its brokers lately.
+/// One row per tenant of the accepted configuration. Shows only the number of keys; the quota level
+/// is the one that this process last sent to its brokers.
 pub fn tenants(state: &RouteState, quota_levels: QuotaLevels<'_>) -> StatementReply {
     let accepted = state.current();
     let version = state.version().0;
@@ -32,8 +32,9 @@
 }
 
 fn row(tenant: &Tenant, quota_levels: QuotaLevels<'_>, version: u64) -> Vec<String> {
-    let [rate, burst] = quota(tenant.quota);
-    let [left, arrivals] = quota_levels(&tenant.name).map(|level| used(&level)).unwrap_or_default();
+    let [rate, burst] = quota_columns(tenant.quota);
+    let [left, arrivals] =
+        quota_levels(&tenant.name).map(|level| level_columns(&level)).unwrap_or_default();
     vec![
         tenant.name.to_string(),
         tenant.keys.len().to_string(),
@@ -47,14 +48,14 @@
     ]
 }
 
-/// Requests that are left, negative for a debt, and those that come to all brokers.
-fn used(level: &TenantLevel) -> [String; 2] {
+/// Requests left in the quota, negative for a debt, and arrivals per second at all brokers.
+fn level_columns(level: &TenantLevel) -> [String; 2] {
     let left = level.level_thousandths as f64 / THOUSAND;
     let arrivals = level.arrivals_per_1000_s as f64 / THOUSAND;
     [format!("{left:.1}"), format!("{arrivals:.1}")]
 }
 
-fn quota(quota: TenantQuota) -> [String; 2] {
+fn quota_columns(quota: TenantQuota) -> [String; 2] {
     match quota.is_limited() {
         true => [quota.per_second().to_string(), quota.burst().to_string()],
         false => ["unlimited".to_owned(), String::new()],
--- a/crates/control/src/tables/zones.rs
+++ b/crates/control/src/tables/zones.rs
@@ -10,15 +10,15 @@
 
 use super::table;
 
-/// The zones that the state names, a row each: whether they are evacuated, and how many brokers do not
-/// have the last order of the zone in force yet.
+/// One row per zone that the state names: whether it is evacuated, and the number of brokers on which
+/// the zone's last order is not in force yet.
 pub fn zones(state: &ClusterState) -> StatementReply {
     let rows = named(state).into_iter().map(|zone| row(state, zone)).collect();
     let columns = ["zone", "state", "brokers", "leaves", "brokers without the last order"];
     table(&columns, rows)
 }
 
-/// Zones that a broker, a leaf or an evacuation names.
+/// Zones named by a broker, a leaf or an evacuation.
 pub fn named(state: &ClusterState) -> BTreeSet<&ZoneName> {
     let live = state.members().brokers().values().map(|broker| &broker.placement);
     let departed = state.members().departed().values().map(|broker| &broker.placement);
