--- a/crates/control/src/leaf_polling.rs
+++ b/crates/control/src/leaf_polling.rs
@@ -1,4 +1,5 @@
-//! Polling of leaves' health endpoints: late and sometimes untrue, so only a hint.
+//! Polling of leaves' health endpoints. Results are delayed and may be wrong, so they are only a
+//! hint.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,32 +18,32 @@
 
 use crate::cluster_task::ClusterMessage;
 
-/// Time from one poll of a leaf to the next.
+/// Mean interval between two polls of a leaf.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// Time that a leaf has to answer.
-const POLL_LIMIT: Duration = Duration::from_secs(1);
-/// Polls under way at the same time.
+/// Time limit for a leaf's answer.
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent polls.
 const CONCURRENT_POLLS: usize = 64;
-/// Path of the health endpoint.
+/// Path of a leaf's health endpoint.
 const HEALTH_PATH: &str = "/health";
 
 /// A leaf to poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolledLeaf {
-    /// The leaf.
+    /// Configured number of the leaf.
     pub leaf: LeafId,
-    /// Its address.
+    /// Address of its health endpoint.
     pub address: SocketAddr,
 }
 
-/// The leaves that this process polls.
+/// The set of leaves that this process polls.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PollPlan {
-    /// The leaves.
+    /// Leaves to poll once per interval.
     pub leaves: Vec<PolledLeaf>,
 }
 
-/// What a leaf says of itself; other fields are left out.
+/// Body of a health response; unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 struct HealthReport {
     healthy: bool,
@@ -50,12 +51,12 @@
     draining: bool,
 }
 
-/// The channel to the polling task and the task's end of it.
+/// Creates the channel that carries plans to the polling task.
 pub fn channel() -> (Tx<PollPlan>, Rx<PollPlan>) {
     unbounded::channel()
 }
 
-/// Polls the leaves of the newest plan for ever.
+/// Polls the leaves of the newest plan until the process ends.
 pub async fn run(mut plans: Rx<PollPlan>, cluster: Tx<ClusterMessage>) {
     let permits = Rc::new(Semaphore::new(CONCURRENT_POLLS));
     let mut plan = PollPlan::default();
@@ -64,21 +65,21 @@
             plan = newer;
         }
         for leaf in &plan.leaves {
-            monoio::spawn(poll_later(*leaf, permits.clone(), cluster.clone()));
+            monoio::spawn(poll_with_jitter(*leaf, permits.clone(), cluster.clone()));
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Polls at a random moment of the interval, so that polls spread evenly.
-async fn poll_later(polled: PolledLeaf, permits: Rc<Semaphore>, cluster: Tx<ClusterMessage>) {
+/// Polls after a random delay within the interval, to spread the polls evenly.
+async fn poll_with_jitter(polled: PolledLeaf, permits: Rc<Semaphore>, cluster: Tx<ClusterMessage>) {
     let share: f64 = rand::rng().random();
     sleep(POLL_INTERVAL.mul_f64(share)).await;
     let Ok(_permit) = permits.acquire().await else {
         return;
     };
-    let health = match timeout(POLL_LIMIT, poll(polled.address)).await {
-        Ok(Ok(response)) => understand(&response),
+    let health = match timeout(POLL_TIMEOUT, poll(polled.address)).await {
+        Ok(Ok(response)) => parse_health(&response),
         _ => LeafHealth::Unreachable,
     };
     // The cluster task lives as long as the process.
@@ -92,7 +93,7 @@
     connection.exchange(request).await
 }
 
-fn understand(response: &HttpResponse) -> LeafHealth {
+fn parse_health(response: &HttpResponse) -> LeafHealth {
     match serde_json::from_slice::<HealthReport>(response.body()) {
         Ok(HealthReport { draining: true, .. }) => LeafHealth::Leaving,
         Ok(HealthReport { healthy: true, .. }) => LeafHealth::Serving,
