--- a/crates/control/src/configured_zones.rs
+++ b/crates/control/src/configured_zones.rs
@@ -1,39 +1,40 @@
-//! The zones and regions that the settings name.
+//! Zones and regions in the settings of a control process.
 
 use std::collections::BTreeMap;
 
 use gingerkeel_domain::identifiers::{RegionName, ZoneName};
 use gingerkeel_domain::routes::{RegionPolicy, RouteConfiguration, RouteError};
 
-/// Zones with their regions. Where the settings name none, nothing is known of places.
+/// The configured zones with their regions. If the settings name none, regions are not checked.
 #[derive(Debug, Clone, Default)]
 pub struct ConfiguredZones {
     zones: BTreeMap<ZoneName, RegionName>,
 }
 
 impl ConfiguredZones {
-    /// These zones, by name, with the names of their regions.
+    /// Creates the map from zone names and the names of their regions.
     pub fn new(zones: &BTreeMap<String, String>) -> Self {
         let zones =
             zones.iter().map(|(zone, region)| (ZoneName::new(zone), RegionName::new(region)));
         Self { zones: zones.collect() }
     }
 
-    /// Whether the settings name no zone at all.
+    /// Whether the settings name no zone.
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// Whether the settings name a zone.
+    /// Whether the settings name this zone.
     pub fn has_zone(&self, zone: &ZoneName) -> bool {
         self.zones.contains_key(zone)
     }
 
-    /// Checks that routes and tenants name only regions that there are.
+    /// Checks that routes and tenants allow only configured regions. Accepts any region if no zone
+    /// is configured.
     ///
     /// # Errors
-    /// [`RouteError::UnknownRegion`] or [`RouteError::UnknownTenantRegion`] names the route or the tenant, the
-    /// region and those that there are.
+    /// [`RouteError::UnknownRegion`] or [`RouteError::UnknownTenantRegion`], with the route or
+    /// tenant, its unknown region and the configured regions.
     pub fn check_regions(&self, configuration: &RouteConfiguration) -> Result<(), RouteError> {
         if self.is_empty() {
             return Ok(());
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,4 +1,4 @@
-//! Reasons why a control process does not start.
+//! Errors at the start of a control process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use crate::replication::StartError;
 
 quick_error! {
-    /// A control process cannot start.
+    /// Why a control process cannot start.
     #[derive(Debug)]
     pub enum ControlError {
         /// An address cannot be bound.
@@ -16,13 +16,13 @@
             source(error)
             display("address {address}: {error}: check that the address is this machine's and is free")
         }
-        /// The replicated log cannot be opened.
+        /// The replicated log cannot be started, for example because the data folder is in use.
         Log(error: StartError) {
             from()
             source(error)
             display("{error}")
         }
-        /// The runtime cannot start.
+        /// The asynchronous runtime cannot start.
         Runtime(error: io::Error) {
             from()
             source(error)
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control process: it accepts operators' statements, holds the replicated state and feeds
-//! brokers.
+//! The control process: accepts operators' statements, holds the replicated state and serves the
+//! brokers' feeds.
 
 mod change_proposals;
 mod cluster_task;
@@ -49,23 +49,23 @@
 use crate::replication::ReplicationOptions;
 use crate::replication_client::ReplicationClient;
 
-/// Pause after a connection could not be accepted, as when descriptors are short.
+/// Pause after a failed `accept`, for example when the process has run out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a control process speaks besides its own protocols.
+/// Optional interfaces of a control process to systems outside the cluster.
 #[derive(Default)]
 pub struct Interfaces {
-    /// With operators of routes.
+    /// HTTP interface for routes, zones and roll-outs; served if the settings name its address.
     pub routes: Option<Rc<dyn RouteInterface>>,
-    /// With the directory of leaves.
+    /// External directory of leaves; polled if the settings name its address.
     pub directory: Option<Rc<dyn DirectoryInterface>>,
 }
 
-/// Serves operators and brokers until the process ends. When `source` changes, it is said whether
-/// that needs a restart.
+/// Serves operators and brokers until the process ends. When the settings file in `source`
+/// changes, logs whether the change needs a restart.
 ///
 /// # Errors
-/// A [`ControlError`] when an address or the data folder cannot be used.
+/// A [`ControlError`] if an address or the data folder cannot be used.
 pub async fn run(
     settings: ControlSettings,
     source: Option<SettingsSource<ControlSettings>>,
@@ -77,10 +77,10 @@
     run_with_interfaces(settings, source, interfaces).await
 }
 
-/// As [`run`], with other interfaces besides the own ones.
+/// Same as [`run`], with the given interfaces instead of the native ones.
 ///
 /// # Errors
-/// As [`run`].
+/// Same as [`run`].
 pub async fn run_with_interfaces(
     settings: ControlSettings,
     source: Option<SettingsSource<ControlSettings>>,
--- a/crates/control/src/reload.rs
+++ b/crates/control/src/reload.rs
@@ -1,4 +1,5 @@
-//! Says whether changed settings await a restart: a control process reads them at its start only.
+//! Logs whether changed settings need a restart: a control process reads its settings only at its
+//! start.
 
 use std::io;
 
@@ -6,10 +7,11 @@
 use gingerkeel_transport::FileWatch;
 use tracing::info;
 
-/// Watches the settings file for ever.
+/// Spawns a task that reads the settings file again on each change or signal and logs whether the
+/// settings differ from those in force.
 ///
 /// # Errors
-/// An [`io::Error`] when the signal of changed settings cannot be watched.
+/// An [`io::Error`] if the file or the signal to reload it cannot be watched.
 pub fn start(
     source: SettingsSource<ControlSettings>,
     in_force: &ControlSettings,
