--- a/crates/control/src/directory_polling.rs
+++ b/crates/control/src/directory_polling.rs
@@ -22,8 +22,8 @@
 use crate::ports::{DirectoryInterface, InterfaceError};
 use crate::replication_client::ReplicationClient;
 
-/// Interval between checks of this process's role. Until a new leader has read the list, brokers use
-/// the list that the former leader read.
+/// Interval between checks of this process's role. Until a new leader has read the list, brokers
+/// use the list that the former leader read.
 const ROLE_CHECK: Duration = Duration::from_millis(100);
 /// Minimum interval between two readings, also for refresh requests: each call is costly, and
 /// configurations may arrive in quick succession.
@@ -89,8 +89,8 @@
         self.refresh_requested = true;
     }
 
-    /// Whether to read now. A leader reads when it has just been elected, when the interval is over, or
-    /// on a refresh request; other processes never read.
+    /// Whether to read now. A leader reads when it has just been elected, when the interval is
+    /// over, or on a refresh request; other processes never read.
     fn is_due(&mut self, now: Instant, is_leader: bool) -> bool {
         let was_leader = std::mem::replace(&mut self.is_leader, is_leader);
         let elected = is_leader && !was_leader;
--- a/crates/control/src/directory_polling/tests.rs
+++ b/crates/control/src/directory_polling/tests.rs
@@ -2,8 +2,8 @@
 
 const INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Steps: time in ms, whether the process is_leader, whether a refresh is requested, and whether the list
-/// is read.
+/// Steps: time in ms, whether the process is_leader, whether a refresh is requested, and whether
+/// the list is read.
 fn check(steps: &[(u64, bool, bool, bool)]) {
     let start = Instant::now();
     let mut schedule = PollSchedule::new(INTERVAL);
--- a/crates/control/src/entries.rs
+++ b/crates/control/src/entries.rs
@@ -99,8 +99,8 @@
     is_valid.then(|| LeafIdentity::of_run(&identity, None))
 }
 
-/// Recovers the usable entries of a corrupted page by parsing an object at each `{`. The rest of the
-/// page counts as one unreadable entry without an identity.
+/// Recovers the usable entries of a corrupted page by parsing an object at each `{`. The rest of
+/// the page counts as one unreadable entry without an identity.
 fn recover_page<E: DirectoryEntry>(text: &str, fields: PageFields) -> Option<DirectoryPage> {
     let next = recover_next(text, fields)?;
     let mut page = DirectoryPage { leaves: Vec::new(), left_out: Vec::new(), next };
--- a/crates/control/src/native_routes.rs
+++ b/crates/control/src/native_routes.rs
@@ -1,5 +1,5 @@
-//! Native HTTP interface for routes: `PUT` and `GET` of `/v1/routes`, as JSON, `PUT` and `DELETE` of
-//! `/v1/evacuations/ZONE`, and `PUT` and `GET` of `/v1/rollouts/SERVICE`.
+//! Native HTTP interface for routes: `PUT` and `GET` of `/v1/routes`, as JSON, `PUT` and `DELETE`
+//! of `/v1/evacuations/ZONE`, and `PUT` and `GET` of `/v1/rollouts/SERVICE`.
 
 mod document;
 
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -107,8 +107,8 @@
     if replies.succeeded() { StatusCode::OK } else { StatusCode::BAD_REQUEST }
 }
 
-/// Command identity of the first change, from the headers; without headers, a random session that is
-/// never reused. `None` if the headers are invalid.
+/// Command identity of the first change, from the headers; without headers, a random session that
+/// is never reused. `None` if the headers are invalid.
 fn command_id(headers: &HeaderMap) -> Option<CommandId> {
     let text = |name| headers.get(name).map(|value| value.to_str().unwrap_or_default());
     match (text(SESSION_HEADER), text(SEQUENCE_HEADER)) {
--- a/crates/control/src/tables/zones.rs
+++ b/crates/control/src/tables/zones.rs
@@ -10,8 +10,8 @@
 
 use super::table;
 
-/// One row per zone that the state names: whether it is evacuated, and the number of brokers on which
-/// the zone's last order is not in force yet.
+/// One row per zone that the state names: whether it is evacuated, and the number of brokers on
+/// which the zone's last order is not in force yet.
 pub fn zones(state: &ClusterState) -> StatementReply {
     let rows = named(state).into_iter().map(|zone| row(state, zone)).collect();
     let columns = ["zone", "state", "brokers", "leaves", "brokers without the last order"];
