--- a/crates/control/tests/support/cluster.rs
+++ b/crates/control/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Control processes of their own that form one cluster.
+//! A cluster of control processes, each a child process of the test.
 
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
@@ -11,26 +11,26 @@
 
 use super::{Control, FakeBroker, free_addresses, wait_until};
 
-/// Addresses of a process: statements, feed, peers and routes.
+/// Number of addresses per process: statements, feed, peers and routes.
 const ADDRESSES: usize = 4;
 
-/// A control process.
+/// A control process of the cluster.
 pub struct Member {
     pub control: Control,
-    /// Where it takes routes.
+    /// Address of its HTTP interface for routes.
     pub routes: SocketAddr,
     settings: String,
     process: Child,
 }
 
-/// Control processes that list each other in their settings; they end with the test.
+/// Control processes that list each other in their settings. Dropping it kills them.
 pub struct Cluster {
     pub members: Vec<Member>,
     _folder: TempDir,
 }
 
 impl Cluster {
-    /// Starts so many, all of them voters.
+    /// Starts this many processes, all of them voters, and waits until they are ready.
     pub fn start(processes: usize) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let addresses = free_addresses(processes * ADDRESSES);
@@ -65,27 +65,27 @@
         cluster
     }
 
-    /// Sends a signal to one.
+    /// Sends a signal to the process with this index.
     pub fn signal(&self, index: usize, signal: Signal) {
         let pid = Pid::from_child(&self.members[index].process);
         kill_process(pid, signal).unwrap();
     }
 
-    /// Kills one.
+    /// Kills the process with this index.
     pub fn kill(&mut self, index: usize) {
         let process = &mut self.members[index].process;
         process.kill().unwrap();
         process.wait().unwrap();
     }
 
-    /// Starts one again that was killed.
+    /// Restarts a killed process on its data folder.
     pub fn restart(&mut self, index: usize) {
         let member = &mut self.members[index];
         member.process = spawn(&member.settings);
     }
 
-    /// Sends one command to the processes in turn, from `first` on and past `down`, until one
-    /// tells its outcome.
+    /// Sends one command to the processes in turn, starting after `first` and skipping `down`,
+    /// until one returns its outcome: the accepted revision, or 0 for a refusal.
     pub fn command(
         &self,
         text: &str,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The catalog as this process gives it to a new broker.
+    /// The catalog that this process sends to a new broker.
     pub fn catalog(&self, index: usize) -> Catalog {
         let mut broker = FakeBroker::subscribe(&self.members[index].control, "checker", 1, 0);
         broker.receive_until(|message| match message {
@@ -123,7 +123,7 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         for member in &mut self.members {
-            // A process that ended already is as good.
+            // Fails if the process has already exited.
             let _ = member.process.kill();
             let _ = member.process.wait();
         }
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A control process in a thread, operators who post statements, and hollow brokers.
+//! A control process in a thread, a client for its HTTP interfaces, and fake brokers.
 #![allow(dead_code)]
 
 pub mod cluster;
@@ -25,32 +25,32 @@
 use monoio_codec::{Decoded, Decoder};
 use tempfile::TempDir;
 
-/// Time that a process has to get ready, or a condition to hold; generous, for a busy machine.
+/// Time limit for a process to become ready or a condition to hold; generous, for a loaded machine.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// First port of a list.
+/// First port of a list of addresses.
 const FIRST_PORT: u16 = 20_000;
-/// Second octet of the loopback hosts of tests; those of rehearsals are below.
+/// Lowest second octet of the loopback hosts of these tests; rehearsals use lower ones.
 const FIRST_OCTET: u8 = 150;
-/// Lists of addresses that a test process may ask for.
-const CALL_LIMIT: u8 = 100;
+/// Maximum number of calls of [`free_addresses`] per test process.
+const MAX_CALLS: u8 = 100;
 
-/// A control process.
+/// Client of a control process; owns the data folder if it started the process.
 pub struct Control {
     pub operators: SocketAddr,
     pub feed: SocketAddr,
-    /// Where operators send routes.
+    /// Address of the HTTP interface for routes, if known.
     pub routes: Option<SocketAddr>,
     folder: Option<TempDir>,
 }
 
 impl Control {
-    /// Starts one on free addresses; it ends with the test.
+    /// Starts a process in a thread, on free addresses and an empty data folder.
     pub fn start(name: &str) -> Self {
         Self::start_in(name, tempfile::tempdir().unwrap(), "")
     }
 
-    /// Starts one on a data folder, with further settings.
+    /// Starts a process in a thread on this data folder, with further settings as TOML.
     pub fn start_in(name: &str, folder: TempDir, further_settings: &str) -> Self {
         let addresses = free_addresses(3);
         let [operators, feed, routes] = [addresses[0], addresses[1], addresses[2]];
@@ -67,22 +67,22 @@
         control
     }
 
-    /// One that runs elsewhere.
+    /// Creates a client of a process that is already running.
     pub fn at(operators: SocketAddr, feed: SocketAddr) -> Self {
         Self { operators, feed, routes: None, folder: None }
     }
 
-    /// Its data folder.
+    /// Data folder of a process that was started here.
     pub fn folder(&self) -> &Path {
         self.folder.as_ref().expect("a folder of its own").path()
     }
 
-    /// Sends a document of routes; the status and the answer.
+    /// Sends a route configuration; returns the status and the body.
     pub fn put_routes(&self, document: &str) -> (u16, String) {
         self.call_routes(Method::PUT, document)
     }
 
-    /// Reads the routes back; the status and the document.
+    /// Reads the route configuration; returns the status and the document.
     pub fn read_routes(&self) -> (u16, String) {
         self.call_routes(Method::GET, "")
     }
@@ -101,19 +101,19 @@
         (response.status().as_u16(), text)
     }
 
-    /// Whether it answers look-ups.
+    /// Whether the process answers `SHOW` statements, which needs a quorum.
     pub fn is_ready(&self) -> bool {
         matches!(self.try_post("SHOW STATUS", None), Some(StatementReply::Table { .. }))
     }
 
-    /// Posts one statement; its reply, or none when the process cannot be asked.
+    /// Posts one statement; returns its reply, or `None` if the process is unreachable.
     pub fn try_post(&self, text: &str, command: Option<(&str, &str)>) -> Option<StatementReply> {
         let response = self.try_exchange(text, &headers(command)).ok()?;
         let replies: StatementReplies = serde_json::from_slice(response.body()).ok()?;
         replies.replies.into_iter().next()
     }
 
-    /// Posts a text; the status and the replies.
+    /// Posts statements; returns the status and the replies.
     pub fn post(&self, text: &str, command: Option<(&str, &str)>) -> (u16, Vec<StatementReply>) {
         let response = self.exchange(text, command);
         let replies: StatementReplies =
@@ -121,12 +121,12 @@
         (response.status().as_u16(), replies.replies)
     }
 
-    /// Posts a text; the response as it comes.
+    /// Posts statements; returns the raw response.
     pub fn exchange(&self, text: &str, command: Option<(&str, &str)>) -> HttpResponse {
         self.exchange_with(text, &headers(command))
     }
 
-    /// Posts a text with headers; the response as it comes.
+    /// Posts statements with these headers; returns the raw response.
     pub fn exchange_with(&self, text: &str, headers: &[(&'static str, &str)]) -> HttpResponse {
         self.try_exchange(text, headers).expect("the process answers")
     }
@@ -150,7 +150,7 @@
         block_on(exchanging).unwrap()
     }
 
-    /// The rows of a look-up.
+    /// The rows of a `SHOW` statement.
     pub fn rows(&self, text: &str) -> Vec<Vec<String>> {
         match self.post(text, None).1.pop() {
             Some(StatementReply::Table { rows, .. }) => rows,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Carries out one change; the revision that it gave.
+    /// Posts one change that must be accepted; returns its revision.
     pub fn change(&self, text: &str) -> u64 {
         match self.post(text, None).1.pop() {
             Some(StatementReply::Accepted { revision }) => revision,
@@ -167,13 +167,13 @@
     }
 }
 
-/// Addresses of a loopback host that no other call and no other test process uses, so that they
-/// are free. To bind them first and let them go would not do: a program that another test starts
-/// at that moment inherits the sockets for as long as it takes to start.
+/// Addresses on a loopback host that no other call and no other test process uses, so that they are
+/// free. Binding and releasing them first would be racy: a child process that another test spawns
+/// at that moment inherits the sockets until it has started.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
     static CALLS: AtomicU8 = AtomicU8::new(0);
     let call = CALLS.fetch_add(1, Ordering::Relaxed);
-    assert!(call < CALL_LIMIT, "a test process asks for at most 100 lists of addresses");
+    assert!(call < MAX_CALLS, "a test process asks for at most 100 lists of addresses");
     let [_, _, middle, low] = std::process::id().to_be_bytes();
     let host = Ipv4Addr::new(127, FIRST_OCTET + call, middle, low.max(1));
     (0..count).map(|number| SocketAddr::from((host, FIRST_PORT + number as u16))).collect()
@@ -188,7 +188,7 @@
     }
 }
 
-/// Waits until `condition` holds.
+/// Polls `condition` until it holds; panics after [`WAIT_LIMIT`].
 pub fn wait_until(mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_LIMIT;
     while !condition() {
@@ -197,14 +197,14 @@
     }
 }
 
-/// A broker that only speaks the feed.
+/// Client of the broker feed, without the rest of a broker.
 pub struct FakeBroker {
     stream: TcpStream,
     received: BytesMut,
 }
 
 impl FakeBroker {
-    /// Connects without a word.
+    /// Connects without subscribing.
     pub fn connect(control: &Control) -> Self {
         let stream = TcpStream::connect(control.feed).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -226,7 +226,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next message; none when the feed was closed.
+    /// The next message; `None` once the feed is closed.
     pub fn receive(&mut self) -> Option<FeedMessage> {
         loop {
             let decoded = FrameCodec::<FeedMessage>::default().decode(&mut self.received).unwrap();
@@ -234,7 +234,7 @@
                 return Some(message);
             }
             let mut part = [0; 4096];
-            // A reset is as good an end as any other.
+            // A reset counts as the end of the feed.
             let count = self.stream.read(&mut part).unwrap_or(0);
             if count == 0 {
                 return None;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The next message that `select` takes; others are left out.
+    /// The first message for which `select` returns a value; skips the others.
     pub fn receive_until<T>(&mut self, select: impl Fn(FeedMessage) -> Option<T>) -> T {
         loop {
             let message = self.receive().expect("the feed goes on");
@@ -253,7 +253,7 @@
         }
     }
 
-    /// The revisions that the feed brings up to `last`, and whether the first came whole.
+    /// Receives up to revision `last`; returns whether a full catalog came, and the revisions.
     pub fn follow_to(&mut self, last: u64) -> (bool, Vec<u64>) {
         let (mut whole, mut revisions) = (false, Vec::new());
         loop {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Asks for a lease; the revision that it names.
+    /// Requests a lease; returns the revision in its grant.
     pub fn renew(&mut self, number: u64, in_force: u64) -> u64 {
         self.send(&SubscriberMessage::Renew { ticket: number, in_force });
         self.receive_until(|message| match message {
