--- a/crates/control/tests/replication/full_disk.rs
+++ b/crates/control/tests/replication/full_disk.rs
@@ -1,4 +1,4 @@
-//! A full disk stops acceptance, is told, and loses nothing that was accepted.
+//! A full disk stops proposals and is reported, but loses no accepted entry.
 
 use std::fs::File;
 use std::io;
@@ -34,7 +34,7 @@
     }
 }
 
-fn until_accepted(member: &Member, command: &'static str) {
+fn propose_until_accepted(member: &Member, command: &'static str) {
     let accepted = (0..TRIES).any(|_| {
         let accepted = member.propose(command).is_ok();
         if !accepted {
@@ -45,8 +45,8 @@
     assert!(accepted, "{command} is accepted");
 }
 
-/// The writer's thread gives the folder free once it has noticed that the member ended.
-fn wait_until_free(folder: &Path) {
+/// Waits for the writer thread to release the folder lock, some time after the member has ended.
+fn wait_until_unlocked(folder: &Path) {
     let owner = FolderOwner {
         cluster: "test".into(),
         node: NodeNumber(1),
@@ -56,32 +56,32 @@
         std::thread::sleep(PAUSE);
         Storage::open(folder, &owner, Box::new(DiskIo)).is_ok()
     });
-    assert!(free, "the folder is given free");
+    assert!(free, "the folder is unlocked");
 }
 
 #[test]
-fn a_full_disk_is_told_and_acceptance_goes_on_when_there_is_room() {
+fn full_disk_is_reported_and_proposals_resume_once_there_is_space() {
     let folder = TempDir::new().expect("a folder");
     let full = Arc::new(AtomicBool::new(false));
     let disk = Disk { full: full.clone() };
     let member = Member::start(settings(folder.path(), &[]), Box::new(disk));
-    until_accepted(&member, "before");
+    propose_until_accepted(&member, "before");
     full.store(true, Ordering::Relaxed);
     assert_eq!(member.propose("during"), Err(ProposeError::Dropped));
     let error = member.propose("refused").expect_err("the disk is full");
     assert!(error.to_string().contains("the disk is full"), "{error}");
     assert!(member.status().storage_error.is_some());
     full.store(false, Ordering::Relaxed);
-    until_accepted(&member, "after");
+    propose_until_accepted(&member, "after");
     assert_eq!(member.status().storage_error, None);
     member.stop();
-    wait_until_free(folder.path());
+    wait_until_unlocked(folder.path());
 
     let member = Member::start(
         settings(folder.path(), &[]),
         Box::new(Disk { full: Arc::new(AtomicBool::new(false)) }),
     );
-    until_accepted(&member, "last");
+    propose_until_accepted(&member, "last");
     let commands: Vec<String> = member.commands.try_iter().collect();
     assert!(commands.starts_with(&["before".into()]), "{commands:?}");
     assert!(commands.ends_with(&["after".into(), "last".into()]), "{commands:?}");
--- a/crates/control/tests/replication/main.rs
+++ b/crates/control/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! The task of the replicated log: peers that are refused, and a disk that is full.
+//! Tests of the replicated log's task: refused peers and a full disk.
 
 mod full_disk;
 mod peers;
--- a/crates/control/tests/replication/peers.rs
+++ b/crates/control/tests/replication/peers.rs
@@ -1,4 +1,4 @@
-//! Connections that are refused, and frames that end a connection.
+//! Refused peer connections, and invalid frames that close a connection.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,7 +19,7 @@
 
 use crate::support::{Member, free_addresses, settings};
 
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 const TRIES: usize = 500;
 const PAUSE: Duration = Duration::from_millis(10);
 
@@ -41,7 +41,7 @@
             stream
         });
         let stream = connected.expect("it listens");
-        stream.set_read_timeout(Some(ANSWER_LIMIT)).expect("a limit");
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("a limit");
         Self { stream, received: BytesMut::new() }
     }
 
@@ -50,7 +50,7 @@
         self.stream.write_all(&bytes).expect("it is sent");
     }
 
-    /// The next frame; none when the connection ends.
+    /// The next frame; `None` once the connection is closed.
     fn next(&mut self) -> Option<PeerFrame> {
         let mut codec = FrameCodec::<PeerFrame>::default();
         loop {
@@ -76,7 +76,7 @@
     PeerFrame::Hello { protocol_version, identity, cluster: cluster.as_bytes().to_vec() }
 }
 
-/// The first of two members; the test plays the second.
+/// Starts the first of two members; the test acts as the second.
 fn member(folder: &TempDir) -> (Member, SocketAddr) {
     let addresses = free_addresses(2);
     let settings = settings(folder.path(), &addresses);
@@ -88,7 +88,7 @@
 #[case::cluster(hello(PROTOCOL_VERSION, "other", identity(2, 5)), PeerRefusal::Cluster)]
 #[case::unknown(hello(PROTOCOL_VERSION, "test", identity(3, 5)), PeerRefusal::UnknownPeer)]
 #[case::itself(hello(PROTOCOL_VERSION, "test", identity(1, 5)), PeerRefusal::UnknownPeer)]
-fn a_stranger_is_refused(#[case] greeting: PeerFrame, #[case] reason: PeerRefusal) {
+fn foreign_peer_is_refused(#[case] greeting: PeerFrame, #[case] reason: PeerRefusal) {
     let folder = TempDir::new().expect("a folder");
     let (_member, address) = member(&folder);
     let mut peer = Peer::connect(address);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_earlier_data_folder_is_refused_once_a_later_one_was_seen() {
+fn earlier_incarnation_is_refused_once_a_later_one_connected() {
     let folder = TempDir::new().expect("a folder");
     let (_member, address) = member(&folder);
     let mut later = Peer::connect(address);
@@ -110,7 +110,7 @@
     assert_eq!(earlier.next(), Some(PeerFrame::Refused { reason }));
 }
 
-/// A message that speaks for another member than the one that connected.
+/// A consensus message whose sender is not the member that connected.
 fn forged() -> Vec<u8> {
     let other = MemberId { node: NodeNumber(2), incarnation: Incarnation(6) };
     let message = Message::VoteRequest { last: LogPosition::default() };
@@ -131,7 +131,7 @@
 #[case::second_greeting(
     encode_frame(&hello(PROTOCOL_VERSION, "test", identity(2, 5))).expect("a frame")
 )]
-fn a_broken_frame_ends_the_connection_and_nothing_else(#[case] bytes: Vec<u8>) {
+fn invalid_frame_closes_only_its_connection(#[case] bytes: Vec<u8>) {
     let folder = TempDir::new().expect("a folder");
     let (member, address) = member(&folder);
     let mut peer = Peer::connect(address);
@@ -147,12 +147,12 @@
     assert!(matches!(again.next(), Some(PeerFrame::Welcome { .. })));
 }
 
-/// Whether a cluster is formed after the second voter has said who it is.
+/// A cluster must not form with a voter that already has a log or plans other voters.
 #[rstest]
 #[case::without_a_log(0, PLANNED_VOTERS, true)]
 #[case::with_a_log(1, PLANNED_VOTERS, false)]
 #[case::with_other_voters(0, PLANNED_VOTERS + 1, false)]
-fn a_cluster_is_formed_only_by_voters_that_agree(
+fn cluster_forms_only_with_a_matching_voter(
     #[case] formed: u8,
     #[case] planned_voters: u32,
     #[case] expected: bool,
@@ -161,7 +161,7 @@
     let (member, address) = member(&folder);
     let mut peer = Peer::connect(address);
     std::thread::sleep(PAUSE);
-    assert!(member.status().members.is_empty(), "not before all voters are heard of");
+    assert!(member.status().members.is_empty(), "formed before all voters connected");
     assert!(member.propose("early").is_err());
     let greeting = PeerIdentity { formed, planned_voters, ..identity(2, 5) };
     peer.send(&hello(PROTOCOL_VERSION, "test", greeting));
--- a/crates/control/tests/replication/support.rs
+++ b/crates/control/tests/replication/support.rs
@@ -1,4 +1,4 @@
-//! A member in a thread of its own, and requests to it.
+//! A member of the replicated log in its own thread, driven by requests from the test.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::Path;
@@ -17,11 +17,11 @@
 use local_sync::oneshot;
 use monoio::time::{sleep, timeout};
 
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A request from the test's thread.
-enum Ask {
+enum Request {
     Propose(&'static str),
     Status,
     Stop,
@@ -33,19 +33,19 @@
     Status(Box<ReplicationStatus>),
 }
 
-/// A member in a thread of its own.
+/// A member of the replicated log in its own thread.
 pub struct Member {
-    asks: Sender<Ask>,
+    requests: Sender<Request>,
     answers: Receiver<Answer>,
     pub commands: Receiver<String>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Calls of [`free_addresses`] so far.
+/// Number of calls of [`free_addresses`] so far.
 static CALLS: AtomicU8 = AtomicU8::new(0);
 
-/// Free addresses of a loopback host that no other call uses, so that no test that runs beside
-/// takes a port before it is bound.
+/// Free addresses on a loopback host that no other call uses, so that no concurrent test takes a
+/// port before it is bound.
 pub fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let [_, _, middle, low] = std::process::id().to_be_bytes();
     let call = CALLS.fetch_add(1, Ordering::Relaxed);
@@ -73,17 +73,17 @@
 
 impl Member {
     pub fn start(settings: ControlSettings, io: Box<dyn StorageIo>) -> Self {
-        let (asks, received) = channel();
+        let (requests, received) = channel();
         let (sender, answers) = channel();
         let (applied, commands) = channel();
         let thread = thread::spawn(move || {
             let run = run(settings, io, received, sender, applied);
             gingerkeel_transport::block_on(run).expect("a runtime");
         });
-        Self { asks, answers, commands, thread: Some(thread) }
+        Self { requests, answers, commands, thread: Some(thread) }
     }
 
-    /// Why a member does not start.
+    /// The error of a member that fails to start.
     pub fn start_error(settings: ControlSettings) -> String {
         let started = gingerkeel_transport::block_on(async move {
             let (sender, _state_machine) = unbounded::channel();
@@ -94,15 +94,15 @@
     }
 
     pub fn propose(&self, command: &'static str) -> Result<(), ProposeError> {
-        self.asks.send(Ask::Propose(command)).expect("it runs");
+        self.requests.send(Request::Propose(command)).expect("it runs");
         match self.answers.recv().expect("it answers") {
             Answer::Proposed(outcome) => outcome,
-            Answer::Status(_) => panic!("another answer"),
+            Answer::Status(_) => panic!("unexpected answer"),
         }
     }
 
     pub fn status(&self) -> ReplicationStatus {
-        self.asks.send(Ask::Status).expect("it runs");
+        self.requests.send(Request::Status).expect("it runs");
         match self.answers.recv().expect("it answers") {
             Answer::Status(status) => *status,
             Answer::Proposed(_) => panic!("another answer"),
@@ -114,7 +114,7 @@
     }
 
     fn end(&mut self) {
-        let _ = self.asks.send(Ask::Stop);
+        let _ = self.requests.send(Request::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -130,7 +130,7 @@
 async fn run(
     settings: ControlSettings,
     io: Box<dyn StorageIo>,
-    asks: Receiver<Ask>,
+    requests: Receiver<Request>,
     answers: Sender<Answer>,
     applied: Sender<String>,
 ) {
@@ -145,21 +145,21 @@
         }
     });
     loop {
-        let answer = match asks.try_recv() {
-            Ok(Ask::Propose(command)) => Answer::Proposed(propose(&log, command).await),
-            Ok(Ask::Status) => {
+        let answer = match requests.try_recv() {
+            Ok(Request::Propose(command)) => Answer::Proposed(propose(&log, command).await),
+            Ok(Request::Status) => {
                 let (reply, receiver) = oneshot::channel();
                 let _ = log.send(ReplicationMessage::Status { reply });
                 Answer::Status(Box::new(receiver.await.expect("it answers")))
             }
-            Ok(Ask::Stop) => {
-                // The log's task ends before the pause does, as it is woken at once.
+            Ok(Request::Stop) => {
+                // Dropping the sender wakes the log's task, which ends during this pause.
                 drop(log);
-                sleep(LOOK_INTERVAL * 10).await;
+                sleep(POLL_INTERVAL * 10).await;
                 return;
             }
             Err(_) => {
-                sleep(LOOK_INTERVAL).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
         };
@@ -173,6 +173,6 @@
     let (reply, receiver) = oneshot::channel();
     let command = command.as_bytes().to_vec();
     let _ = log.send(ReplicationMessage::Propose { command, reply });
-    let answer = timeout(ANSWER_LIMIT, receiver).await.expect("an answer in time");
+    let answer = timeout(ANSWER_TIMEOUT, receiver).await.expect("an answer in time");
     answer.expect("the log runs")
 }
