--- a/crates/control/tests/former_format.rs
+++ b/crates/control/tests/former_format.rs
@@ -1,11 +1,13 @@
-//! Data folders that former releases wrote, each with a snapshot and a log after it.
+//! Data folders written by former releases, each with a snapshot and a log after it.
 //!
-//! `data/format-3` is of a release that knew no tenants. It took versions 1 to 999 of the routes, of which its snapshot
-//! has one, and version 2000 last. `data/format-4` is of a release that knew no versions of the software of leaves, and
-//! no roll-outs. It took version 4 of the routes, evacuated a zone and changed an account until its snapshot was due;
-//! of two leaves, its snapshot has one, and its log the other. `data/format-5` is of a release that kept no refused requests, and
-//! forgot a version that was taken back with the next order. It took version 4 of the routes, took v2 of a service back,
-//! changed an account until its snapshot was due, and took v3 back.
+//! - `data/format-3`: a release without tenants. It accepted versions 1 to 999 of the routes, one
+//!   of them in the snapshot, and last version 2000.
+//! - `data/format-4`: a release without software versions of leaves and without roll-outs. It
+//!   accepted version 4 of the routes, evacuated a zone and changed an account until the snapshot
+//!   was due. One of its two leaves is in the snapshot, the other in the log.
+//! - `data/format-5`: a release that stored no refused requests and dropped a rolled-back version
+//!   on the next order. It accepted version 4 of the routes, rolled back v2 of a service, changed
+//!   an account until the snapshot was due, and rolled back v3.
 
 mod support;
 
@@ -21,11 +23,11 @@
 use support::{Control, FakeBroker};
 use tempfile::TempDir;
 
-/// The document of version 4.
+/// The route document of version 4.
 const LATER_DOCUMENT: &str = include_str!("data/format-4-routes.json");
-/// The document of version 2000.
+/// The route document of version 2000.
 const DOCUMENT: &str = include_str!("data/format-3-routes.json");
-/// Where the identity file has its format version.
+/// Bytes of the identity file that hold the format version.
 const VERSION_AT: std::ops::Range<usize> = 8..10;
 
 fn former_folder(format: u16) -> TempDir {
@@ -48,7 +50,7 @@
 #[case(3)]
 #[case(4)]
 #[case(5)]
-fn it_is_opened_and_is_of_the_present_format_from_then_on(#[case] format: u16) {
+fn former_folder_is_opened_and_converted_to_the_present_format(#[case] format: u16) {
     let folder = former_folder(format);
     assert_eq!(format_version(folder.path()), format);
     let owner = FolderOwner {
@@ -67,14 +69,14 @@
 }
 
 #[test]
-fn its_routes_are_served_and_replaced() {
+fn routes_of_format_3_are_served_and_replaced() {
     let control = Control::start_in("c1", former_folder(3), "");
     assert_eq!(control.read_routes(), (200, DOCUMENT.to_owned()));
     let shown = control.rows("SHOW ROUTES");
     assert_eq!((shown[0][0].as_str(), shown[0][4].as_str()), ("search", "2900"));
     assert_eq!((shown[0][10].as_str(), shown[0][11].as_str()), ("south", "no"));
     assert!(control.rows("SHOW TENANTS").is_empty());
-    assert_eq!(control.rows("SHOW CALLERS")[0][0], "portal", "what its snapshot holds");
+    assert_eq!(control.rows("SHOW CALLERS")[0][0], "portal", "the caller in the snapshot");
     let overtaken = DOCUMENT.replace("\"version\": 2000", "\"version\": 1999");
     assert_eq!(control.put_routes(&overtaken), (200, "{\"accepted\":2000}".to_owned()));
     let newer = DOCUMENT.replacen(
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn its_leaves_zones_and_tenants_are_kept_and_a_roll_out_can_be_ordered() {
+fn leaves_zones_and_tenants_of_format_4_are_kept_and_a_roll_out_can_be_ordered() {
     let control = Control::start_in("c1", former_folder(4), "");
     assert_eq!(control.read_routes(), (200, LATER_DOCUMENT.to_owned()));
     let leaves: Vec<String> =
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn its_roll_outs_are_kept_with_the_versions_that_were_taken_back() {
+fn roll_outs_of_format_5_are_kept_with_the_rolled_back_versions() {
     let control = Control::start_in("c1", former_folder(5), "");
     assert_eq!(control.read_routes(), (200, LATER_DOCUMENT.to_owned()));
     assert_eq!(control.rows("SHOW CALLERS")[0][1], "1051");
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder: what is kept, cut and refused.
+//! The data folder: recovery, truncation of torn tails, and refused folders.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -48,7 +48,7 @@
     Write { snapshot, ..write(Vec::new()) }
 }
 
-/// Persists batches, and gives what another process finds afterwards.
+/// Persists the batches, reopens the folder and returns the recovered state.
 fn reopened(folder: &TempDir, batches: Vec<Vec<Write>>) -> Recovered {
     let mut opened = open(folder.path()).expect("the folder opens");
     for batch in batches {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_was_persisted_comes_back() {
+fn persisted_state_is_recovered() {
     let folder = TempDir::new().expect("a folder");
     let voted = Write { hard_state: Some(hard_state(3)), ..write(vec![entry(1, 1)]) };
     let recovered = reopened(&folder, vec![vec![voted], vec![write(vec![entry(3, 2)])]]);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_identity_stays_as_the_folder_got_it() {
+fn folder_keeps_its_first_identity() {
     let folder = TempDir::new().expect("a folder");
     let first = open(folder.path()).expect("it opens").identity;
     let later = FolderOwner { new_incarnation: Incarnation(99), ..owner() };
@@ -112,7 +112,7 @@
 #[case::compacts(2, false, vec![(1, 3)])]
 #[case::covers_all(3, false, vec![])]
 #[case::replaces(9, true, vec![])]
-fn a_snapshot_stands_for_the_entries_that_it_covers(
+fn snapshot_replaces_the_entries_that_it_covers(
     #[case] index: u64,
     #[case] replaces: bool,
     #[case] expected: Vec<(u64, u64)>,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_snapshot_removes_the_segments_that_it_covers() {
+fn snapshot_removes_the_segments_that_it_covers() {
     let folder = TempDir::new().expect("a folder");
     let entries = (1..=100).map(|index| entry(1, index)).collect();
     let batches = vec![vec![write(entries)], vec![snapshot_write(1, 100, false)]];
@@ -150,7 +150,7 @@
     assert_eq!(indexes(&reopened(&folder, batches)), [(2, 10)]);
 }
 
-/// Two batches; the second's record starts at the given place.
+/// Persists two batches; returns the segment and the offset of the second record.
 fn two_records(folder: &TempDir) -> (PathBuf, u64) {
     let mut opened = open(folder.path()).expect("it opens");
     opened.storage.persist(vec![write(vec![entry(1, 1)])]).expect("persisted");
@@ -165,7 +165,7 @@
 #[case::header_only(|bytes: &mut Vec<u8>, second: usize| bytes.truncate(second + 5))]
 #[case::zeros(|bytes: &mut Vec<u8>, second: usize| bytes[second..].fill(0))]
 #[case::garbage_in_the_last(|bytes: &mut Vec<u8>, second: usize| bytes[second + 30] ^= 0xff)]
-fn a_torn_tail_is_cut(#[case] tear: fn(&mut Vec<u8>, usize)) {
+fn torn_tail_is_truncated(#[case] tear: fn(&mut Vec<u8>, usize)) {
     let folder = TempDir::new().expect("a folder");
     let (path, second) = two_records(&folder);
     let mut bytes = fs::read(&path).expect("readable");
@@ -181,7 +181,7 @@
 #[case::length(14)]
 #[case::checksum(17)]
 #[case::document(30)]
-fn a_damaged_middle_is_refused(#[case] at: usize) {
+fn damage_before_the_tail_is_refused(#[case] at: usize) {
     let folder = TempDir::new().expect("a folder");
     let (path, _) = two_records(&folder);
     let mut bytes = fs::read(&path).expect("readable");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_missing_segment_is_refused() {
+fn missing_segment_is_refused() {
     let folder = TempDir::new().expect("a folder");
     for index in 1..=3 {
         let mut opened = open(folder.path()).expect("it opens");
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_damaged_snapshot_is_refused() {
+fn damaged_snapshot_is_refused() {
     let folder = TempDir::new().expect("a folder");
     reopened(&folder, vec![vec![snapshot_write(1, 3, true)]]);
     let path = folder.path().join(format!("snapshot-{:020}", 3));
@@ -223,7 +223,7 @@
     FolderOwner { node: NodeNumber(2), ..owner() },
     |error: &StorageError| matches!(error, StorageError::NodeMismatch(..))
 )]
-fn anothers_folder_is_refused(
+fn folder_of_another_cluster_or_node_is_refused(
     #[case] other: FolderOwner,
     #[case] expected: fn(&StorageError) -> bool,
 ) {
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn the_commit_index_is_read_back_as_of_the_last_write() {
+fn commit_index_of_the_last_write_is_recovered() {
     let folder = TempDir::new().expect("a folder");
     let first = Write { commit: LogIndex(1), ..write(vec![entry(1, 1), entry(1, 2)]) };
     let second = Write { commit: LogIndex(2), ..write(vec![entry(1, 3)]) };
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn another_format_is_refused() {
+fn unsupported_format_is_refused() {
     let folder = TempDir::new().expect("a folder");
     reopened(&folder, vec![]);
     let path = folder.path().join("identity");
@@ -257,13 +257,13 @@
 }
 
 #[test]
-fn a_folder_in_use_is_refused() {
+fn folder_in_use_is_refused() {
     let folder = TempDir::new().expect("a folder");
     let _held = open(folder.path()).expect("it opens");
     assert!(matches!(open(folder.path()).err(), Some(StorageError::InUse(_))));
 }
 
-/// A disk that fails as told.
+/// A disk with injected faults.
 #[derive(Clone, Default)]
 struct FaultyIo {
     faults: Arc<Mutex<Faults>>,
@@ -272,23 +272,23 @@
 
 #[derive(Default)]
 struct Faults {
-    /// Bytes that still fit.
-    room: Option<usize>,
-    /// Bytes that one write takes at most.
-    longest_write: Option<usize>,
+    /// Free space in bytes; `None` is unlimited.
+    free_bytes: Option<usize>,
+    /// Maximum number of bytes per write; `None` is unlimited.
+    max_write_bytes: Option<usize>,
     sync_fails: bool,
 }
 
 impl StorageIo for FaultyIo {
     fn write(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<usize> {
         let mut faults = self.faults.lock().expect("no panic");
-        let longest = faults.longest_write.unwrap_or(usize::MAX);
-        let room = faults.room.unwrap_or(usize::MAX);
-        if room == 0 {
+        let longest = faults.max_write_bytes.unwrap_or(usize::MAX);
+        let free_bytes = faults.free_bytes.unwrap_or(usize::MAX);
+        if free_bytes == 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let count = bytes.len().min(longest).min(room);
-        faults.room = faults.room.map(|room| room - count);
+        let count = bytes.len().min(longest).min(free_bytes);
+        faults.free_bytes = faults.free_bytes.map(|free_bytes| free_bytes - count);
         io::Write::write(file, &bytes[..count])
     }
 
@@ -310,7 +310,7 @@
     let folder = TempDir::new().expect("a folder");
     let io = FaultyIo::default();
     let mut storage = open_faulty(folder.path(), &io);
-    io.faults.lock().expect("no panic").longest_write = Some(3);
+    io.faults.lock().expect("no panic").max_write_bytes = Some(3);
     storage.persist(vec![write(vec![entry(1, 1)])]).expect("persisted");
     drop(storage);
     assert_eq!(indexes(&open(folder.path()).expect("it opens").recovered), [(1, 1)]);
@@ -319,34 +319,36 @@
 #[rstest]
 #[case::no_room(0)]
 #[case::room_for_a_part(25)]
-fn a_full_disk_loses_nothing_accepted_and_takes_writes_again(#[case] room: usize) {
+fn full_disk_loses_no_persisted_entry_and_accepts_writes_once_there_is_space(
+    #[case] free_bytes: usize,
+) {
     let folder = TempDir::new().expect("a folder");
     let io = FaultyIo::default();
     let mut storage = open_faulty(folder.path(), &io);
     storage.persist(vec![write(vec![entry(1, 1)])]).expect("persisted");
-    io.faults.lock().expect("no panic").room = Some(room);
+    io.faults.lock().expect("no panic").free_bytes = Some(free_bytes);
     let error = storage.persist(vec![write(vec![entry(1, 2)])]).expect_err("full");
     assert!(matches!(error, StorageError::Full(_)), "{error}");
-    io.faults.lock().expect("no panic").room = None;
+    io.faults.lock().expect("no panic").free_bytes = None;
     storage.persist(vec![write(vec![entry(1, 2)])]).expect("persisted");
     drop(storage);
     assert_eq!(indexes(&open(folder.path()).expect("it opens").recovered), [(1, 1), (1, 2)]);
 }
 
 #[test]
-fn what_was_refused_on_a_full_disk_does_not_come_back() {
+fn entry_refused_by_a_full_disk_is_not_recovered() {
     let folder = TempDir::new().expect("a folder");
     let io = FaultyIo::default();
     let mut storage = open_faulty(folder.path(), &io);
     storage.persist(vec![write(vec![entry(1, 1)])]).expect("persisted");
-    io.faults.lock().expect("no panic").room = Some(25);
+    io.faults.lock().expect("no panic").free_bytes = Some(25);
     storage.persist(vec![write(vec![entry(1, 2)])]).expect_err("full");
     drop(storage);
     assert_eq!(indexes(&open(folder.path()).expect("it opens").recovered), [(1, 1)]);
 }
 
 #[test]
-fn after_a_failed_sync_nothing_more_is_written() {
+fn storage_stops_after_a_failed_sync() {
     let folder = TempDir::new().expect("a folder");
     let io = FaultyIo::default();
     let mut storage = open_faulty(folder.path(), &io);
@@ -360,7 +362,7 @@
 }
 
 #[test]
-fn a_batch_is_synced_once() {
+fn batch_is_synced_once() {
     let folder = TempDir::new().expect("a folder");
     let io = FaultyIo::default();
     let mut storage = open_faulty(folder.path(), &io);
@@ -372,22 +374,22 @@
 }
 
 #[test]
-fn the_writer_says_that_the_disk_is_full_and_goes_on_when_there_is_room() {
+fn writer_reports_a_full_disk_and_resumes_once_there_is_space() {
     let folder = TempDir::new().expect("a folder");
     let io = FaultyIo::default();
     let storage = open_faulty(folder.path(), &io);
-    io.faults.lock().expect("no panic").room = Some(0);
+    io.faults.lock().expect("no panic").free_bytes = Some(0);
     let writer = Writer::start(storage).expect("a thread");
     let number = WriteNumber(5);
     let persist = WriterMessage::Persist(Write { number, ..write(vec![entry(1, 1)]) });
     writer.messages.send(persist).expect("it runs");
     assert!(matches!(writer.events.recv(), Ok(WriterEvent::Full(_))));
-    io.faults.lock().expect("no panic").room = None;
+    io.faults.lock().expect("no panic").free_bytes = None;
     assert!(matches!(writer.events.recv(), Ok(WriterEvent::Persisted(found)) if found == number));
 }
 
 #[test]
-fn a_large_log_is_kept_in_several_segments() {
+fn large_log_is_split_into_segments() {
     let folder = TempDir::new().expect("a folder");
     let mut opened = open(folder.path()).expect("it opens");
     for index in 1..=10 {
@@ -401,7 +403,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_named() {
+fn folder_that_cannot_be_created_is_named() {
     let folder = TempDir::new().expect("a folder");
     let path = folder.path().join("file");
     OpenOptions::new().create(true).write(true).truncate(true).open(&path).expect("a file");
