--- a/crates/control/tests/cluster.rs
+++ b/crates/control/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! Three control processes, killed and frozen in turn under conflicting and resent commands.
+//! A cluster of three control processes, killed and frozen in turn under conflicting and resent
+//! commands.
 
 mod support;
 
@@ -11,11 +12,11 @@
 use support::cluster::Cluster;
 use support::{FakeBroker, wait_until};
 
-/// Processes of a cluster.
+/// Number of processes in a cluster.
 const PROCESSES: usize = 3;
 
 #[test]
-fn accepted_commands_are_there_once_on_all_that_were_killed_and_frozen_in_turn() {
+fn accepted_commands_are_applied_once_on_all_processes_killed_and_frozen_in_turn() {
     let mut cluster = Cluster::start(PROCESSES);
     let mut accepted: BTreeMap<u64, String> = BTreeMap::new();
     let mut sequence = 0;
@@ -33,10 +34,10 @@
             let text = format!("DEFINE CALLER {name} BUDGET {sequence} BURST 1");
             let revision = cluster.command(&text, "anna", sequence, number, down);
             assert!(accepted.insert(revision, name).is_none(), "revision {revision} twice");
-            // The same command again, to another process: its one outcome.
+            // The same command, resent to another process, returns the same outcome.
             let again = cluster.command(&text, "anna", sequence, number + 1, down);
             assert_eq!(again, revision);
-            // A change against the revision before is late: anna's came in between.
+            // A change based on the previous revision conflicts with anna's.
             let late = format!("DEFINE CALLER caller-{round}-{number} BUDGET 0 BURST 0");
             let late = format!("{late} AT REVISION {}", revision - 1);
             assert_eq!(cluster.command(&late, "ben", sequence, number, down), 0);
@@ -50,7 +51,7 @@
         wait_until(|| ready.is_ready());
     }
     let newest = *accepted.last_key_value().unwrap().0;
-    assert_eq!(accepted.len() as u64, newest, "each revision is of one accepted command");
+    assert_eq!(accepted.len() as u64, newest, "each revision belongs to one accepted command");
     let catalogs: Vec<Catalog> = (0..PROCESSES).map(|index| cluster.catalog(index)).collect();
     let expected: BTreeSet<&str> = accepted.values().map(String::as_str).collect();
     for catalog in &catalogs {
@@ -60,9 +61,9 @@
     }
 }
 
-/// The client sends each command once: the process that it asked has to see to it.
+/// The client sends each command once, so the process that received it has to retry the proposal.
 #[test]
-fn command_handed_to_a_frozen_leader_is_accepted_without_a_resend_by_the_client() {
+fn command_forwarded_to_a_frozen_leader_is_accepted_without_a_resend_by_the_client() {
     let cluster = Cluster::start(PROCESSES);
     for frozen in 0..PROCESSES {
         cluster.signal(frozen, Signal::STOP);
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn without_a_quorum_nothing_is_accepted_and_no_lease_granted() {
+fn without_a_quorum_no_command_is_accepted_and_no_lease_granted() {
     let mut cluster = Cluster::start(PROCESSES);
     let text = "DEFINE CALLER portal BUDGET 1 BURST 1";
     assert_eq!(cluster.command(text, "anna", 1, 0, usize::MAX), 1);
@@ -106,7 +107,7 @@
         cluster.members[0].control.post("REMOVE CALLER portal", Some(("anna", "2")));
     assert_eq!(status, 503, "{replies:?}");
     assert!(matches!(replies[..], [StatementReply::Unknown { .. }]), "{replies:?}");
-    // What was asked without a quorum is never granted; what is asked with one is.
+    // A lease requested without a quorum is never granted, unlike one requested with a quorum.
     cluster.restart(1);
     wait_until(|| cluster.members[0].control.is_ready());
     broker.send(&SubscriberMessage::Renew { ticket: 3, in_force: 1 });
--- a/crates/control/tests/seeds.rs
+++ b/crates/control/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! A cluster that forms from seeds, grows by whoever joins, and replaces what it lost.
+//! A cluster that forms from seeds, admits joining processes and replaces lost ones.
 
 mod support;
 
@@ -22,17 +22,19 @@
 use support::{Control, FakeBroker, free_addresses, wait_until};
 use tempfile::TempDir;
 
-/// Processes by which the others are found.
+/// Number of seed processes, through which the others join.
 const SEEDS: usize = 3;
-/// Clusters in a row whose first process loses its disk: without the rule about one in 24 lost what it had acknowledged.
-const CLUSTERS_THAT_LOSE_A_DISK: usize = 6;
-/// Time between two calls of those that do not wait for each other, and how many there are at most.
-const BETWEEN_CALLS: Duration = Duration::from_millis(5);
-const MOST_CALLS: usize = 2_000;
-/// Ports that one test process may use of each host.
-const PORTS_OF_A_PROCESS: u16 = 16;
-
-/// A machine: a host of its own, a data folder and a process.
+/// Number of clusters whose first process loses its disk. Without the rule, about one in 24 lost an
+/// acknowledged configuration.
+const DISK_LOSS_ROUNDS: usize = 6;
+/// Interval between concurrent calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of concurrent calls.
+const MAX_CALLS: usize = 2_000;
+/// Number of ports per host for each test process.
+const PORTS_PER_PROCESS: u16 = 16;
+
+/// A simulated machine: a loopback host, a data folder and a process.
 struct Machine {
     host: Ipv4Addr,
     routes: SocketAddr,
@@ -50,7 +52,7 @@
 }
 
 impl Cluster {
-    /// Starts the seeds, which may form a cluster.
+    /// Starts the seeds, with permission to form a cluster.
     fn start() -> Self {
         let mut cluster = Self::prepare();
         for _ in 0..SEEDS {
@@ -59,7 +61,7 @@
         cluster
     }
 
-    /// Hosts and ports for machines to come.
+    /// Reserves hosts and ports; starts no machine.
     fn prepare() -> Self {
         let addresses = free_addresses(SEEDS + 3);
         let hosts: Vec<Ipv4Addr> =
@@ -83,14 +85,14 @@
         cluster
     }
 
-    /// Starts one more machine on a host of its own, with an empty disk.
+    /// Starts one more machine on a new host, with an empty data folder.
     fn add(&mut self, form: bool) -> usize {
         let index = self.prepare_machine(form);
         self.run(index);
         index
     }
 
-    /// One more machine, which does not run yet.
+    /// Prepares one more machine without starting it.
     fn prepare_machine(&mut self, form: bool) -> usize {
         let index = self.machines.len();
         let host = self.hosts[index];
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Where a process takes statements.
+    /// Client of a process for statements and its feed.
     fn statements(&self, index: usize) -> Control {
         let host = self.machines[index].host;
         Control::at((host, self.ports[2]).into(), (host, self.ports[1]).into())
@@ -151,13 +153,13 @@
         self.call_at(index, "/v1/routes", method, body)
     }
 
-    /// Orders a zone evacuated (`PUT`) or restored (`DELETE`); gives the status.
+    /// Orders a zone evacuated (`PUT`) or restored (`DELETE`); returns the status.
     fn order_zone(&self, index: usize, method: Method, zone: &str) -> Option<u16> {
         let path = format!("/v1/evacuations/{zone}");
         self.call_at(index, &path, method, Vec::new()).map(|(status, _)| status)
     }
 
-    /// The zones; nothing while no leader confirms the read, since an election may take place at any time.
+    /// The rows of `SHOW ZONES`; `None` while no leader confirms the read, as during an election.
     fn zones(&self, index: usize) -> Option<Vec<Vec<String>>> {
         match self.statements(index).post("SHOW ZONES", None).1.pop() {
             Some(StatementReply::Table { rows, .. }) => Some(rows),
@@ -165,7 +167,7 @@
         }
     }
 
-    /// The state of the first zone; nothing while none is read.
+    /// The state of the first zone; `None` while the read fails or names no zone.
     fn zone_state(&self, index: usize) -> Option<String> {
         let rows = self.zones(index)?;
         rows.first().map(|row| row[1].clone())
@@ -181,7 +183,7 @@
         call(self.machines[index].routes, path, method, body)
     }
 
-    /// Waits until a process takes a newer configuration.
+    /// Waits until a process accepts the configuration of this version.
     fn wait_accepted(&self, index: usize, version: u64) {
         wait_until(|| self.replace(index, version) == Some(200));
     }
@@ -195,24 +197,24 @@
     }
 }
 
-/// Sends a configuration again and again, before the one sent last is answered, until one is acknowledged: the first one
-/// that is sent once there is a leader is acknowledged within milliseconds.
+/// Sends a configuration repeatedly, without waiting for answers, until one is acknowledged. The
+/// first one sent after a leader is elected is thus acknowledged within milliseconds.
 fn put_until_acknowledged(routes: SocketAddr, version: u64) {
     let body = serde_json::to_vec(&configuration(version)).unwrap();
     let (sender, statuses) = mpsc::channel();
-    for _ in 0..MOST_CALLS {
+    for _ in 0..MAX_CALLS {
         let (sender, body) = (sender.clone(), body.clone());
         thread::spawn(move || {
             let status = call(routes, "/v1/routes", Method::PUT, body).map(|(status, _)| status);
-            // The test may have its answer.
+            // Fails if another call was acknowledged before.
             let _ = sender.send(status);
         });
-        let answered = statuses.recv_timeout(BETWEEN_CALLS);
+        let answered = statuses.recv_timeout(CALL_INTERVAL);
         if answered == Ok(Some(200)) || statuses.try_iter().any(|status| status == Some(200)) {
             return;
         }
     }
-    panic!("nothing was acknowledged in time");
+    panic!("no configuration was acknowledged in time");
 }
 
 fn call(address: SocketAddr, path: &str, method: Method, body: Vec<u8>) -> Option<(u16, Bytes)> {
@@ -227,7 +229,7 @@
     Some((response.status().as_u16(), response.into_body()))
 }
 
-/// A host beside that of the address, so that all machines use the same ports.
+/// A host next to that of the address, so that all machines can use the same ports.
 fn host(address: SocketAddr, last: u8) -> Ipv4Addr {
     let SocketAddr::V4(address) = address else {
         panic!("an IPv4 address");
@@ -236,13 +238,13 @@
     Ipv4Addr::new(first, second, third, 1 + last)
 }
 
-/// The hosts of a cluster take the place of the last byte of an address, which tells test processes apart that
-/// run at the same time: their ports do so instead.
+/// A port that no concurrent test process uses. Elsewhere the last byte of the host separates test
+/// processes; here it numbers the hosts of a cluster, so the port separates them instead.
 fn port(address: SocketAddr) -> u16 {
     let SocketAddr::V4(host) = address else {
         panic!("an IPv4 address");
     };
-    address.port() + PORTS_OF_A_PROCESS * u16::from(host.ip().octets()[3])
+    address.port() + PORTS_PER_PROCESS * u16::from(host.ip().octets()[3])
 }
 
 fn configuration(version: u64) -> RouteConfiguration {
@@ -274,10 +276,10 @@
 }
 
 #[test]
-fn the_highest_version_is_kept_by_all_and_survives_a_restart_of_all() {
+fn highest_version_reaches_all_processes_and_survives_a_restart_of_all() {
     let mut cluster = Cluster::start();
     cluster.wait_accepted(1, 5);
-    // An older one and the same one are acknowledged, once the process has heard of the leader.
+    // An older version and the same version are acknowledged once the process knows the leader.
     for (index, version) in [(2, 3), (0, 5)] {
         wait_until(|| match cluster.replace(index, version) {
             Some(200) => true,
@@ -303,7 +305,7 @@
 }
 
 #[test]
-fn a_machine_that_met_the_seeds_before_they_formed_the_cluster_joins_it() {
+fn machine_that_connected_before_the_cluster_formed_joins_it() {
     let mut cluster = Cluster::prepare();
     (0..SEEDS).for_each(|_| {
         cluster.prepare_machine(true);
@@ -311,7 +313,7 @@
     cluster.run(0);
     cluster.run(1);
     let early = cluster.add(true);
-    // Long enough to connect to the seeds that run; the cluster waits for the last one.
+    // Long enough to connect to the running seeds; the cluster forms only with the last seed.
     thread::sleep(Duration::from_secs(2));
     cluster.run(2);
     cluster.wait_accepted(early, 4);
@@ -319,14 +321,14 @@
 }
 
 #[test]
-fn a_machine_at_another_address_takes_the_place_of_a_lost_one() {
+fn machine_at_another_address_replaces_a_lost_member() {
     let mut cluster = Cluster::start();
     cluster.wait_accepted(0, 1);
     cluster.kill(2);
     let successor = cluster.add(false);
     cluster.wait_accepted(successor, 2);
-    // Once the lost one is taken out, the two others may lose one more and still be a quorum. Until
-    // then a call waits in vain, and the killed process is needed again.
+    // Once the lost member is removed, the cluster has a quorum without one more process. Before
+    // that, the call times out and the killed process is restarted.
     wait_until(|| {
         thread::sleep(Duration::from_secs(4));
         cluster.kill(1);
@@ -340,21 +342,21 @@
 }
 
 #[test]
-fn a_change_that_meets_no_leader_waits_for_one() {
+fn change_waits_for_the_election_of_a_leader() {
     let mut cluster = Cluster::start();
     cluster.wait_accepted(0, 1);
-    // Whoever leads, one of the three kills ends its office; the call goes to one that lives.
+    // One of the three kills hits the leader; each call goes to a live process.
     for (version, killed) in [(2, 0), (3, 1), (4, 2)] {
         cluster.kill(killed);
         let status = cluster.replace((killed + 1) % SEEDS, version);
-        assert_eq!(status, Some(200), "the call waits over the election");
+        assert_eq!(status, Some(200), "the call waits for the election");
         cluster.run(killed);
         wait_until(|| cluster.version(killed) == Some(version));
     }
 }
 
 #[test]
-fn a_machine_that_lost_its_disk_joins_again_and_forms_no_cluster() {
+fn machine_that_lost_its_disk_rejoins_and_forms_no_cluster() {
     let mut cluster = Cluster::start();
     cluster.wait_accepted(0, 7);
     cluster.kill(0);
@@ -363,21 +365,15 @@
     wait_until(|| cluster.version(0) == Some(7));
 }
 
-/// Symptom: an acknowledged configuration was gone after the disk of the process that had formed the cluster was lost within
-/// 20 ms of the acknowledgement; that process formed a second cluster, and the others followed it.
-///
-/// Sequence: two of three processes hold the configuration, which is acknowledged. The first of them comes back with an
-/// empty disk and asks both others whether they have a log. The one that has says that it has none; the third really
-/// has none yet.
-///
-/// Cause: whether a process has a log was noted by its maintenance, some time after the first entry was written
-/// and acknowledged.
-///
-/// What settled it: `cluster_formed` twice in the lines of the first process, 20 ms apart, and at the second one
-/// `role_changed` to a leader of the same term with another identity.
+/// Guards against the loss of an acknowledged configuration when the process that formed the
+/// cluster loses its disk within about 20 ms of the acknowledgement. It came back empty and asked
+/// the other two whether they had a log: the third had none yet, and the one with the configuration
+/// denied it, because its flag was set by periodic maintenance instead of with the first write. The
+/// process then formed a second cluster (`cluster_formed` twice in its log, 20 ms apart), which the
+/// others joined.
 #[test]
-fn a_disk_lost_right_after_the_first_acknowledgement_loses_nothing() {
-    for _ in 0..CLUSTERS_THAT_LOSE_A_DISK {
+fn disk_loss_right_after_the_first_acknowledgement_loses_no_configuration() {
+    for _ in 0..DISK_LOSS_ROUNDS {
         let mut cluster = Cluster::start();
         put_until_acknowledged(cluster.machines[0].routes, 7);
         cluster.kill(0);
@@ -388,7 +384,7 @@
 }
 
 #[test]
-fn a_seed_that_may_not_form_waits_for_the_others() {
+fn machine_without_permission_to_form_waits_for_the_seeds() {
     let mut cluster = Cluster::start();
     cluster.wait_accepted(0, 1);
     (0..SEEDS).for_each(|index| cluster.kill(index));
@@ -398,12 +394,12 @@
 }
 
 #[test]
-fn an_evacuation_is_durable_once_acknowledged_and_taken_back_by_any_process() {
+fn acknowledged_evacuation_is_durable_and_any_process_restores_the_zone() {
     let mut cluster = Cluster::start();
     cluster.wait_accepted(0, 1);
     let unknown = cluster.order_zone(1, Method::PUT, "hall-x");
     assert_eq!(unknown, Some(400));
-    // Sent again to another process, as when the answer was lost.
+    // Resent to another process, as after a lost answer.
     assert_eq!(cluster.order_zone(1, Method::PUT, "hall-a"), Some(200));
     assert_eq!(cluster.order_zone(2, Method::PUT, "hall-a"), Some(200));
     (0..SEEDS).for_each(|index| cluster.kill(index));
@@ -412,7 +408,7 @@
         wait_until(|| cluster.statements(index).is_ready());
         wait_until(|| cluster.zone_state(index).as_deref() == Some("evacuated"));
     }
-    // Without a leader at first: the order waits for one.
+    // There may be no leader at first: the order waits for the election.
     cluster.kill(0);
     assert_eq!(cluster.order_zone(1, Method::DELETE, "hall-a"), Some(200));
     wait_until(|| cluster.zones(2).is_some_and(|zones| zones.is_empty()));
@@ -420,7 +416,7 @@
 }
 
 #[test]
-fn an_evacuation_that_comes_before_any_zone_is_known_may_come_again() {
+fn evacuation_may_be_retried_before_any_zone_is_known() {
     let cluster = Cluster::start_without_zones();
     cluster.wait_accepted(0, 1);
     assert_eq!(cluster.order_zone(1, Method::PUT, "palermo"), Some(503));
@@ -431,7 +427,7 @@
 }
 
 #[test]
-fn a_route_that_allows_a_region_which_no_zone_has_is_refused() {
+fn route_that_allows_an_unknown_region_is_refused() {
     let cluster = Cluster::start();
     cluster.wait_accepted(0, 1);
     let allowing = |version, region: &str| {
