--- a/crates/control/tests/crashing_requests.rs
+++ b/crates/control/tests/crashing_requests.rs
@@ -1,4 +1,5 @@
-//! Requests that crash leaves: what one broker proves is known to the brokers of all control processes, and stays known.
+//! Requests that crash leaves: one broker's finding reaches the brokers of all control processes
+//! and is durable.
 
 mod support;
 
@@ -11,8 +12,8 @@
 
 const PROCESSES: usize = 3;
 
-/// A broker's proof that a request crashes leaves.
-fn proof() -> CrashFinding {
+/// A broker's finding that a request crashes leaves.
+fn crash_finding() -> CrashFinding {
     CrashFinding {
         digest: RequestDigest(7),
         route: "search".to_owned(),
@@ -27,62 +28,62 @@
     broker.send(&SubscriberMessage::CrashFindings { findings });
 }
 
-/// Waits until a broker is told that the request is refused.
-fn is_told(broker: &mut FakeBroker) {
-    let told = broker.receive_until(|message| match message {
+/// Waits until a broker receives the finding that the request is refused.
+fn wait_until_refused(broker: &mut FakeBroker) {
+    let finding = broker.receive_until(|message| match message {
         FeedMessage::CrashFindings { findings } | FeedMessage::RefusedRequests { findings, .. } => {
             let findings: Vec<CrashFinding> = decode_document(&findings.bytes).unwrap();
             findings.into_iter().find(|finding| finding.digest == RequestDigest(7))
         }
         _ => None,
     });
-    assert_eq!(told.verdict, Verdict::Refused);
+    assert_eq!(finding.verdict, Verdict::Refused);
 }
 
 fn subscribe(cluster: &Cluster, control: usize, name: &str) -> FakeBroker {
     FakeBroker::subscribe(&cluster.members[control].control, name, 1, 0)
 }
 
-/// A broker at each control process.
+/// Subscribes one broker to each control process.
 fn subscribe_to_each(cluster: &Cluster) -> Vec<FakeBroker> {
     let controls = 0..PROCESSES;
     controls.map(|control| subscribe(cluster, control, &format!("b{control}"))).collect()
 }
 
 #[test]
-fn a_crashing_request_is_not_unknown_to_brokers_of_other_control_processes() {
+fn crash_finding_reaches_the_brokers_of_other_control_processes() {
     let cluster = Cluster::start(PROCESSES);
     let mut others = [1, 2].map(|control| subscribe(&cluster, control, &format!("b{control}")));
     let mut reporter = subscribe(&cluster, 0, "b0");
-    report(&mut reporter, proof());
-    others.iter_mut().for_each(is_told);
+    report(&mut reporter, crash_finding());
+    others.iter_mut().for_each(wait_until_refused);
 }
 
 #[test]
-fn a_crashing_request_is_not_forgotten_when_all_control_processes_restart() {
+fn crash_finding_survives_a_restart_of_all_control_processes() {
     let mut cluster = Cluster::start(PROCESSES);
     let mut reporter = subscribe(&cluster, 0, "b0");
-    report(&mut reporter, proof());
-    is_told(&mut reporter);
-    // A change that is accepted after the proof is in the log after it.
+    report(&mut reporter, crash_finding());
+    wait_until_refused(&mut reporter);
+    // An accepted change is later in the log than the finding, so the finding is durable, too.
     cluster.command("EVACUATE ZONE z", "operator", 1, 0, usize::MAX);
     (0..PROCESSES).for_each(|index| cluster.kill(index));
     (0..PROCESSES).for_each(|index| cluster.restart(index));
     support::wait_until(|| cluster.members.iter().all(|member| member.control.is_ready()));
-    is_told(&mut subscribe(&cluster, 1, "b1"));
+    wait_until_refused(&mut subscribe(&cluster, 1, "b1"));
 }
 
 #[test]
-fn operators_see_refused_requests_and_release_them_everywhere() {
+fn operators_list_refused_requests_and_release_them_on_all_brokers() {
     let cluster = Cluster::start(PROCESSES);
     let mut brokers = subscribe_to_each(&cluster);
-    report(&mut brokers[0], proof());
-    brokers.iter_mut().for_each(is_told);
+    report(&mut brokers[0], crash_finding());
+    brokers.iter_mut().for_each(wait_until_refused);
     let control = &cluster.members[1].control;
     let rows = || control.rows("SHOW REFUSED REQUESTS");
     assert_eq!(rows()[0][..4], ["0000000000000007", "search", "3", "0"]);
     let (status, _) = control.post("RELEASE REQUEST 0000000000000008", None);
-    assert_eq!(status, 400, "it is not refused");
+    assert_eq!(status, 400, "the request is not refused");
     control.change("RELEASE REQUEST 0000000000000007");
     assert!(rows().is_empty());
     for broker in &mut brokers {
@@ -98,13 +99,13 @@
 }
 
 #[test]
-fn brokers_of_different_control_processes_get_one_trial_together() {
+fn brokers_of_different_control_processes_share_one_trial() {
     let cluster = Cluster::start(PROCESSES);
     let mut brokers = subscribe_to_each(&cluster);
-    report(&mut brokers[0], CrashFinding { for_ms: 0, ..proof() });
-    brokers.iter_mut().for_each(is_told);
+    report(&mut brokers[0], CrashFinding { for_ms: 0, ..crash_finding() });
+    brokers.iter_mut().for_each(wait_until_refused);
     for broker in &mut brokers {
-        let finding = encode_document(&proof()).unwrap().into();
+        let finding = encode_document(&crash_finding()).unwrap().into();
         broker.send(&SubscriberMessage::AskTrial { ticket: 9, finding });
     }
     let answer = |broker: &mut FakeBroker| {
@@ -117,35 +118,35 @@
     assert_eq!(granted, 1);
 }
 
-/// One of three processes starts again: no leader can be found, and its log ends with the proof.
+/// One of three processes restarts. It finds no leader, and its log ends with the finding.
 #[test]
-fn a_crashing_request_is_not_unknown_before_a_leader_is_found() {
+fn crash_finding_is_sent_before_a_leader_is_found() {
     let mut cluster = Cluster::start(PROCESSES);
     let mut reporter = subscribe(&cluster, 0, "b0");
-    report(&mut reporter, proof());
+    report(&mut reporter, crash_finding());
     let recorded = || !cluster.members[2].control.rows("SHOW REFUSED REQUESTS").is_empty();
     support::wait_until(recorded);
     (0..PROCESSES).for_each(|index| cluster.kill(index));
     cluster.restart(2);
     support::wait_until(|| TcpStream::connect(cluster.members[2].control.feed).is_ok());
-    is_told(&mut subscribe(&cluster, 2, "b2"));
+    wait_until_refused(&mut subscribe(&cluster, 2, "b2"));
 }
 
 #[test]
-fn a_released_request_is_not_refused_by_a_broker_that_comes_later() {
+fn released_request_is_not_reported_to_a_broker_that_subscribes_later() {
     let cluster = Cluster::start(PROCESSES);
     let mut reporter = subscribe(&cluster, 0, "b0");
-    report(&mut reporter, proof());
-    is_told(&mut reporter);
+    report(&mut reporter, crash_finding());
+    wait_until_refused(&mut reporter);
     let control = &cluster.members[0].control;
     support::wait_until(|| !control.rows("SHOW REFUSED REQUESTS").is_empty());
     control.change("RELEASE REQUEST 0000000000000007");
     let mut late = subscribe(&cluster, 0, "b9");
     let hint = late.receive_until(|message| match message {
         FeedMessage::CrashFindings { .. } => Some(true),
-        // What is held of requests comes before it.
+        // Findings are sent before the list of control processes.
         FeedMessage::Controls { .. } => Some(false),
         _ => None,
     });
-    assert!(!hint, "nothing is held against it any more");
+    assert!(!hint, "the request is still reported as refused");
 }
--- a/crates/control/tests/directory_feed.rs
+++ b/crates/control/tests/directory_feed.rs
@@ -1,4 +1,4 @@
-//! How a control process tells brokers of the outside list of leaves.
+//! The external directory of leaves in a control process's feeds.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use gingerkeel_protocol::{FeedMessage, unpack_document};
 use support::{Control, FakeBroker, wait_until};
 
-/// A list of leaves that a test changes.
+/// HTTP server of a directory whose list a test can change.
 struct ListServer {
     address: SocketAddr,
     names: Arc<Mutex<Vec<&'static str>>>,
@@ -57,8 +57,8 @@
     }
 }
 
-/// The next news of the list: a whole one, or what changed.
-fn next_news(broker: &mut FakeBroker) -> Result<LeafDirectory, DirectoryDelta> {
+/// The next update of the directory: the whole list, or a delta as the error.
+fn next_update(broker: &mut FakeBroker) -> Result<LeafDirectory, DirectoryDelta> {
     broker.receive_until(|message| match message {
         FeedMessage::WholeDirectory { directory } => {
             Some(Ok(unpack_document(&directory.bytes).expect("a list")))
@@ -70,18 +70,19 @@
     })
 }
 
-/// A whole list for each change of it would fill the links of a large fleet: thousands of leaves to hundreds of brokers.
+/// Sending the whole list on each change would saturate the links of a large fleet, with thousands
+/// of leaves and hundreds of brokers.
 #[test]
-fn a_list_that_changes_is_told_as_what_changed() {
+fn change_of_the_directory_is_sent_as_a_delta() {
     let list = ListServer::start(&["a", "b"]);
     let settings = format!("[directory]\naddress = \"{}\"\npoll_interval_ms = 100\n", list.address);
     let control = Control::start_in("control-1", tempfile::tempdir().unwrap(), &settings);
     wait_until(|| control.rows("SHOW DIRECTORY").len() == 2);
     let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
-    assert_eq!(next_news(&mut broker).expect("the whole list first").leaves().len(), 2);
+    assert_eq!(next_update(&mut broker).expect("the whole list comes first").leaves().len(), 2);
     for names in [&["a", "b", "c"][..], &["a", "c"]] {
         list.list(names);
-        let change = next_news(&mut broker).expect_err("what changed");
+        let change = next_update(&mut broker).expect_err("a delta");
         assert_eq!(change.changed.len() + change.gone.len(), 1, "{change:?}");
     }
 }
--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Feeds of a control process, as hollow brokers see them.
+//! Feeds of a control process, as received by fake brokers.
 
 mod support;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn new_broker_gets_the_whole_catalog_and_then_changes() {
+fn new_broker_gets_the_full_catalog_and_then_changes() {
     let control = Control::start("control-1");
     control.change(&define(1));
     control.change(&define(2));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn broker_that_comes_back_gets_only_what_it_lacks() {
+fn reconnected_broker_gets_only_the_missing_changes() {
     let control = Control::start("control-1");
     for number in 1..=5 {
         control.change(&define(number));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn broker_too_far_behind_gets_the_whole_catalog() {
+fn broker_too_far_behind_gets_the_full_catalog() {
     let control = Control::start("control-1");
     let last = HISTORY_LIMIT as u64 + 2;
     let text: Vec<String> = (1..=last).map(define).collect();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn lease_names_what_is_accepted_and_the_broker_reports_what_is_in_force() {
+fn lease_names_the_accepted_revision_and_the_broker_reports_the_one_in_force() {
     let control = Control::start("control-1");
     control.change(&define(1));
     let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn removed_broker_is_cut_off_until_it_is_added_again() {
+fn removed_broker_is_disconnected_and_refused_until_it_is_added_again() {
     let control = Control::start("control-1");
     let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     wait_until(|| !control.rows("SHOW BROKERS").is_empty());
@@ -114,7 +114,7 @@
 #[rstest]
 #[case::version(PROTOCOL_VERSION + 1, "b1", FeedRefusal::ProtocolVersion)]
 #[case::name(PROTOCOL_VERSION, "", FeedRefusal::BadName)]
-fn broker_that_cannot_be_served_is_told_why(
+fn refused_subscription_states_the_reason(
     #[case] version: u16,
     #[case] name: &str,
     #[case] expected: FeedRefusal,
@@ -131,7 +131,7 @@
 #[case::not_a_message(&[0, 0, 0, 1, 99])]
 #[case::too_large(&[255, 255, 255, 255])]
 #[case::renewal_before_subscription(&[0, 0, 0, 17, 2, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0])]
-fn broken_frame_ends_the_connection_and_nothing_else(#[case] bytes: &[u8]) {
+fn invalid_frame_closes_only_its_connection(#[case] bytes: &[u8]) {
     let control = Control::start("control-1");
     let mut broker = FakeBroker::connect(&control);
     broker.send_bytes(bytes);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn charges_count_once_over_resends_and_restarts() {
+fn charges_are_counted_once_across_resends_and_restarts() {
     let control = Control::start("control-1");
     let mut broker = FakeBroker::subscribe(&control, "b1", 1, 0);
     charge(&mut broker, 1, 1, 10);
@@ -178,7 +178,7 @@
     assert!(control.rows("SHOW CHARGES OF nobody").is_empty());
 }
 
-/// The next threshold that the feed brings.
+/// The next admission threshold from the feed.
 fn threshold(broker: &mut FakeBroker) -> u8 {
     broker.receive_until(|message| match message {
         FeedMessage::Threshold { lowest_admitted, .. } => Some(lowest_admitted),
@@ -186,7 +186,7 @@
     })
 }
 
-/// The next threshold, from a broker that renews its lease so as not to be taken for dead.
+/// The next admission threshold, received while the broker renews its lease so as not to expire.
 fn threshold_while_renewing(broker: &mut FakeBroker) -> u8 {
     let renewal = SubscriberMessage::Renew { ticket: 1, in_force: 1 };
     broker.send(&renewal);
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn overload_of_one_broker_sets_the_threshold_of_all_and_ends_with_its_reports() {
+fn overload_of_one_broker_sets_the_threshold_of_all_until_its_reports_end() {
     let control = Control::start("control-1");
     control.change("DEFINE SERVICE console CONCURRENCY 8");
     control.change("DEFINE CLASS callback OF console PRIORITY 1 QUEUE 8 PRICE 1 DEADLINE 1s FULL");
@@ -227,10 +227,10 @@
     let mut third = FakeBroker::subscribe(&control, "b3", 3, 0);
     assert_eq!(threshold(&mut third), 1);
     let lowest_admitted = threshold_while_renewing(&mut second);
-    assert_eq!(lowest_admitted, ADMIT_ALL, "nobody reports any more");
+    assert_eq!(lowest_admitted, ADMIT_ALL, "no broker reports overload any more");
 }
 
-/// What a broker reports of a leaf that was slow in requests that began so long ago.
+/// A broker's report of a leaf that was slow in requests that began this many ms ago.
 fn slow_leaf(ms_ago: &[u32]) -> SubscriberMessage {
     let leaf = LeafIdentity::new("x");
     let seen = vec![LeafObservation {
@@ -251,11 +251,11 @@
 }
 
 #[test]
-fn all_brokers_are_warned_of_a_leaf_that_two_find_slow() {
+fn all_brokers_are_warned_of_a_leaf_that_two_report_as_slow() {
     let control = Control::start("control-1");
     let mut brokers = ["b1", "b2", "b3"].map(|name| FakeBroker::subscribe(&control, name, 1, 0));
-    // All of them are subscribed before any of them reports, and the process runs for longer than the
-    // requests that are reported.
+    // All brokers subscribe before one reports, and the process has to run for longer than the age
+    // of the reported requests.
     for broker in &mut brokers {
         broker.renew(1, 0);
     }
@@ -274,7 +274,10 @@
         );
     }
     let mut late = FakeBroker::subscribe(&control, "b4", 1, 0);
-    assert!(next_warnings(&mut late)[0].for_ms <= 1_000, "one that comes meanwhile is told");
+    assert!(
+        next_warnings(&mut late)[0].for_ms <= 1_000,
+        "a broker that subscribes later is warned for the remaining time"
+    );
 }
 
 fn crash(leaves: u32, verdict: Verdict) -> CrashFinding {
@@ -290,13 +293,13 @@
 }
 
 #[test]
-fn all_brokers_are_told_of_a_request_that_crashes_leaves() {
+fn crash_finding_is_sent_to_all_brokers() {
     let control = Control::start("control-1");
     let mut brokers = ["b1", "b2"].map(|name| FakeBroker::subscribe(&control, name, 1, 0));
     for broker in &mut brokers {
         broker.renew(1, 0);
     }
-    // One leaf alone proves nothing, and is not passed on.
+    // A crash of a single leaf proves nothing and is not forwarded.
     for found in [crash(1, Verdict::Suspected), crash(3, Verdict::Refused)] {
         let findings = encode_document(&vec![found]).unwrap().into();
         brokers[0].send(&SubscriberMessage::CrashFindings { findings });
@@ -307,5 +310,5 @@
     let mut late = FakeBroker::subscribe(&control, "b3", 1, 0);
     let told = next_findings(&mut late).remove(0);
     assert_eq!((told.verdict, told.leaves), (Verdict::Refused, 3));
-    assert!(told.for_ms <= 10_000, "for what is left of it");
+    assert!(told.for_ms <= 10_000, "for the remaining time");
 }
--- a/crates/control/tests/leaf_refusals.rs
+++ b/crates/control/tests/leaf_refusals.rs
@@ -1,4 +1,4 @@
-//! What brokers of one control process find of leaves, and which of it those of another hear.
+//! Which leaf observations of a broker reach the brokers of other control processes.
 
 mod support;
 
@@ -18,8 +18,8 @@
     }
 }
 
-fn report(broker: &mut FakeBroker, seen: LeafObservation) {
-    let observations = encode_document(&vec![seen]).unwrap().into();
+fn report(broker: &mut FakeBroker, observation: LeafObservation) {
+    let observations = encode_document(&vec![observation]).unwrap().into();
     broker.send(&SubscriberMessage::SlowLeaves { observations });
 }
 
@@ -30,9 +30,10 @@
     })
 }
 
-/// Slow and failing leaves are known to the brokers of one process only, refusing ones to all.
+/// Warnings of slow and failing leaves go to the brokers of one process only, those of refusing
+/// leaves to all brokers.
 #[test]
-fn refusals_are_told_to_the_brokers_of_all_control_processes() {
+fn refusing_leaf_is_reported_to_the_brokers_of_all_control_processes() {
     let cluster = Cluster::start(2);
     let subscribe =
         |member: usize, name| FakeBroker::subscribe(&cluster.members[member].control, name, 1, 0);
@@ -46,8 +47,8 @@
     assert_eq!(next_warnings(&mut one)[0].cause, WarningCause::Failing);
     let refusing = LeafObservation { refused_ms_ago: vec![10], ..observation("refusing") };
     report(&mut one, refusing);
-    let heard = next_warnings(&mut far);
-    let heard: Vec<(&str, WarningCause)> =
-        heard.iter().map(|warning| (warning.leaf.as_str(), warning.cause)).collect();
-    assert_eq!(heard, [("refusing", WarningCause::Refusing)]);
+    let warnings = next_warnings(&mut far);
+    let warnings: Vec<(&str, WarningCause)> =
+        warnings.iter().map(|warning| (warning.leaf.as_str(), warning.cause)).collect();
+    assert_eq!(warnings, [("refusing", WarningCause::Refusing)]);
 }
--- a/crates/control/tests/quotas.rs
+++ b/crates/control/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! The use of quotas between control processes and to the brokers that each of them feeds.
+//! Exchange of quota usage between control processes, and its distribution to their brokers.
 
 mod support;
 
@@ -13,18 +13,19 @@
 use support::cluster::Cluster;
 use support::{FakeBroker, wait_until};
 
-/// Control processes; without one of two nothing is accepted, and quotas hold all the same.
+/// Number of control processes. With one of two down there is no quorum, but quotas still hold.
 const PROCESSES: usize = 2;
-/// The tenant that has a quota.
+/// Name of the tenant with a quota.
 const TENANT: &str = "kiosk";
 
-/// Requests that the tenant may send at once.
+/// The tenant's burst, in requests.
 const BURST: u64 = 1_000;
-/// Time after which control processes that started together count what the others tell as new.
-const STARTED: Duration = Duration::from_secs(2);
+/// Time after which control processes that started together count each other's reports as new
+/// usage.
+const STARTUP_TIME: Duration = Duration::from_secs(2);
 
-/// Has a cluster accept that the tenant may send so many requests a second.
-fn replace(cluster: &Cluster, version: u64, per_second: u64) {
+/// Replaces the routes by a configuration with this quota, in requests per second; 0 is unlimited.
+fn replace_quota(cluster: &Cluster, version: u64, per_second: u64) {
     let configuration = serde_json::json!({
         "version": version,
         "routes": [],
@@ -61,8 +62,8 @@
     SubscriberMessage::Usage { report: report.into() }
 }
 
-/// The next word of the use of quotas that `select` takes.
-fn told<T>(broker: &mut FakeBroker, select: impl Fn(&FleetUsage) -> Option<T>) -> T {
+/// The first quota usage message for which `select` returns a value.
+fn receive_usage<T>(broker: &mut FakeBroker, select: impl Fn(&FleetUsage) -> Option<T>) -> T {
     broker.receive_until(|message| match message {
         FeedMessage::Usage { usage } => select(&decode_document(&usage.bytes).unwrap()),
         _ => None,
@@ -70,67 +71,67 @@
 }
 
 fn level_below(usage: &FleetUsage, level: i64) -> Option<()> {
-    let is_low = |told: &TenantLevel| {
-        told.tenant.as_str() == TENANT && told.level_thousandths < level * 1_000
+    let is_low = |known: &TenantLevel| {
+        known.tenant.as_str() == TENANT && known.level_thousandths < level * 1_000
     };
     usage.levels.iter().any(is_low).then_some(())
 }
 
 #[test]
-fn what_one_broker_used_is_told_to_the_brokers_of_the_other_control_process() {
+fn usage_of_a_broker_reaches_the_brokers_of_the_other_control_process() {
     let cluster = Cluster::start(PROCESSES);
-    replace(&cluster, 1, 1);
+    replace_quota(&cluster, 1, 1);
     let [first, second] = [0, 1].map(|index: usize| &cluster.members[index].control);
     let mut here = FakeBroker::subscribe(first, "b1", 1, 0);
     let mut there = FakeBroker::subscribe(second, "b2", 2, 0);
-    sleep(STARTED);
+    sleep(STARTUP_TIME);
     here.send(&report(1, 2_000));
-    told(&mut here, |usage| (usage.heard == 1).then_some(()));
-    told(&mut there, |usage| level_below(usage, 0));
+    receive_usage(&mut here, |usage| (usage.heard == 1).then_some(()));
+    receive_usage(&mut there, |usage| level_below(usage, 0));
     let mut newcomer = FakeBroker::subscribe(second, "b3", 3, 0);
-    let first_word = told(&mut newcomer, |usage| Some(usage.clone()));
-    assert!(level_below(&first_word, 0).is_some(), "{first_word:?}");
+    let first_usage = receive_usage(&mut newcomer, |usage| Some(usage.clone()));
+    assert!(level_below(&first_usage, 0).is_some(), "{first_usage:?}");
 }
 
 #[test]
-fn what_brokers_used_is_known_without_the_control_process_that_heard_it() {
+fn usage_survives_the_loss_of_the_control_process_that_received_it() {
     let mut cluster = Cluster::start(PROCESSES);
-    replace(&cluster, 1, 1);
+    replace_quota(&cluster, 1, 1);
     let mut here = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
     let mut there = FakeBroker::subscribe(&cluster.members[1].control, "b2", 2, 0);
-    sleep(STARTED);
+    sleep(STARTUP_TIME);
     here.send(&report(1, 5_000));
-    told(&mut there, |usage| level_below(usage, -1_000));
+    receive_usage(&mut there, |usage| level_below(usage, -1_000));
     cluster.kill(0);
     let mut moved = FakeBroker::subscribe(&cluster.members[1].control, "b1", 1, 0);
-    told(&mut moved, |usage| level_below(usage, -1_000));
-    told(&mut there, |usage| level_below(usage, -1_000));
+    receive_usage(&mut moved, |usage| level_below(usage, -1_000));
+    receive_usage(&mut there, |usage| level_below(usage, -1_000));
 }
 
 #[test]
-fn a_control_process_that_starts_anew_learns_what_was_used() {
+fn restarted_control_process_learns_later_usage() {
     let mut cluster = Cluster::start(PROCESSES);
-    replace(&cluster, 1, 1);
+    replace_quota(&cluster, 1, 1);
     let mut here = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
-    told(&mut here, |_| Some(()));
+    receive_usage(&mut here, |_| Some(()));
     cluster.kill(1);
     here.send(&report(1, 5_000));
-    told(&mut here, |usage| level_below(usage, -1_000));
+    receive_usage(&mut here, |usage| level_below(usage, -1_000));
     cluster.restart(1);
     wait_until(|| cluster.members[1].control.is_ready());
     let mut there = FakeBroker::subscribe(&cluster.members[1].control, "b2", 2, 0);
-    // It does not know what was used before it began, and takes the burst for used.
-    told(&mut there, |usage| level_below(usage, 100));
+    // It does not know the usage before its start and counts the burst as used.
+    receive_usage(&mut there, |usage| level_below(usage, 100));
     here.send(&report(2, 5_000));
-    told(&mut there, |usage| level_below(usage, -1_000));
+    receive_usage(&mut there, |usage| level_below(usage, -1_000));
 }
 
 #[test]
-fn operators_see_what_is_left_of_a_quota_at_each_control_process() {
+fn each_control_process_shows_the_rest_of_a_quota() {
     let cluster = Cluster::start(PROCESSES);
-    replace(&cluster, 1, 1);
+    replace_quota(&cluster, 1, 1);
     let mut broker = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
-    sleep(STARTED);
+    sleep(STARTUP_TIME);
     broker.send(&report(1, 2_000));
     for member in &cluster.members {
         wait_until(|| {
@@ -142,14 +143,14 @@
 }
 
 #[test]
-fn a_quota_that_is_taken_away_is_not_told_of_any_more() {
+fn usage_of_a_removed_quota_is_no_longer_sent() {
     let cluster = Cluster::start(PROCESSES);
-    replace(&cluster, 1, 1);
+    replace_quota(&cluster, 1, 1);
     let mut broker = FakeBroker::subscribe(&cluster.members[0].control, "b1", 1, 0);
-    told(&mut broker, |_| Some(()));
+    receive_usage(&mut broker, |_| Some(()));
     broker.send(&report(1, 2_000));
-    told(&mut broker, |usage| level_below(usage, 0));
-    replace(&cluster, 2, 0);
+    receive_usage(&mut broker, |usage| level_below(usage, 0));
+    replace_quota(&cluster, 2, 0);
     wait_until(|| {
         let mut newcomer = FakeBroker::subscribe(&cluster.members[0].control, "b2", 2, 0);
         newcomer.send(&SubscriberMessage::Renew { ticket: 1, in_force: 0 });
