--- a/crates/control/tests/flags.rs
+++ b/crates/control/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The flags of the program, as an operator meets them.
+//! Command-line flags of the program.
 
 use std::process::{Command, Output};
 
--- a/crates/control/tests/operators.rs
+++ b/crates/control/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators at a control process.
+//! The operators' HTTP interface of a control process.
 
 mod support;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn resend_of_a_command_changes_nothing_and_gets_its_outcome() {
+fn resent_command_returns_its_first_outcome_without_a_second_change() {
     let control = Control::start("control-1");
     let first = control.post(DEFINE, Some(("anna", "7")));
     assert_eq!(first, (200, vec![StatementReply::Accepted { revision: 1 }]));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn changes_of_one_text_are_numbered_on() {
+fn changes_of_one_request_get_consecutive_sequence_numbers() {
     let control = Control::start("control-1");
     let text = format!("{DEFINE}; SHOW CALLERS; DEFINE CALLER gate BUDGET 1 BURST 1");
     assert_eq!(control.post(&text, Some(("anna", "1"))).0, 200);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn of_two_conflicting_changes_the_second_is_told_who_was_first() {
+fn conflicting_change_is_refused_with_the_session_that_was_first() {
     let control = Control::start("control-1");
     control.change(DEFINE);
     let change = |session, budget: u32| {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn statements_after_a_refused_one_are_not_carried_out() {
+fn statements_after_a_refused_one_are_not_executed() {
     let control = Control::start("control-1");
     let (status, replies) = control.post(&format!("DRAIN LEAF 1; {DEFINE}"), None);
     assert_eq!((status, replies.len()), (400, 1));
@@ -67,7 +67,7 @@
 #[case::sequence_zero(&[("x-session", "anna"), ("x-sequence", "0")])]
 #[case::sequence_no_number(&[("x-session", "anna"), ("x-sequence", "one")])]
 #[case::session_no_name(&[("x-session", "an na"), ("x-sequence", "1")])]
-fn unusable_identity_is_refused_with_a_remedy(#[case] headers: &[(&'static str, &str)]) {
+fn invalid_command_identity_is_refused_with_a_remedy(#[case] headers: &[(&'static str, &str)]) {
     let control = Control::start("control-1");
     let response = control.exchange_with(DEFINE, headers);
     assert_eq!(response.status().as_u16(), 400);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn syntax_error_names_its_place() {
+fn syntax_error_names_line_and_column() {
     let control = Control::start("control-1");
     let (status, replies) = control.post("SHOW STATUS;\nDRAIN LEFT 1", None);
     assert_eq!(status, 400);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_zone_that_nobody_knows_is_not_evacuated_and_others_are_shown_with_who_lacks_the_order() {
+fn unknown_zone_is_not_evacuated_and_lagging_brokers_of_an_order_are_counted() {
     let control = Control::start("control-1");
     let (status, replies) = control.post("EVACUATE ZONE palremo", None);
     assert_eq!(status, 400);
--- a/crates/control/tests/reload.rs
+++ b/crates/control/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a control process runs.
+//! Changes of the settings file while a control process runs.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::{Control, free_addresses, wait_until};
 use tempfile::TempDir;
 
-/// A control process; killed when dropped.
+/// A control process as a child process; killed on drop.
 struct Process {
     control: Control,
     child: Child,
@@ -54,14 +54,14 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // Fails only when the process has ended before.
+        // Fails only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 #[test]
-fn a_change_is_said_to_need_a_restart() {
+fn changed_settings_are_logged_as_needing_a_restart() {
     let process = Process::start();
     process.change_settings("zone = \"a\"", "zone = \"b\"");
     wait_until(|| process.log().contains("event=settings_read"));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_signal_without_a_change_changes_nothing() {
+fn signal_without_a_change_needs_no_restart() {
     let process = Process::start();
     kill_process(Pid::from_child(&process.child), Signal::HUP).unwrap();
     wait_until(|| process.log().contains("event=settings_read"));
--- a/crates/control/tests/rollouts.rs
+++ b/crates/control/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs at a control process: orders, reports of brokers, and what they are told.
+//! Roll-outs at a control process: orders, brokers' reports and the stages sent to brokers.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use rstest::rstest;
 use support::{Control, FakeBroker, wait_until};
 
-/// A configuration with one route to service `search`.
+/// A configuration with one route, to service `search`.
 fn routes() -> String {
     let search = ServiceName::new("search");
     let route = Route {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_order_is_taken_read_back_and_taken_again() {
+fn order_is_accepted_read_back_and_accepted_again() {
     let control = start();
     assert_eq!(call(&control, Method::GET, "search", "").0, 404);
     assert_eq!(order(&control, "v2", 60_000).0, 200);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn another_order_is_told_what_is_under_way() {
+fn another_order_conflicts_with_the_roll_out_under_way() {
     let control = start();
     assert_eq!(order(&control, "v2", 60_000).0, 200);
     let (status, text) = order(&control, "v3", 60_000);
@@ -115,7 +115,7 @@
 #[case::unreadable("search", r#"{"version":"v2","#, "not readable")]
 #[case::another_kind("search", r#"{"version":2,"within_ms":1000}"#, "not readable")]
 #[case::another_field("search", r#"{"version":"v2","within_ms":1000,"x":1}"#, "not readable")]
-fn an_order_that_is_not_valid_is_refused_with_a_remedy(
+fn invalid_order_is_refused_with_a_remedy(
     #[case] service: &str,
     #[case] body: &str,
     #[case] reason: &str,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn while_no_service_is_known_an_order_may_come_again() {
+fn order_may_be_retried_while_no_service_is_known() {
     let control = Control::start("control-1");
     assert_eq!(order(&control, "v2", 1_000).0, 503);
 }
@@ -148,7 +148,7 @@
     assert!(error.contains("SHOW ROUTES"), "{error}");
 }
 
-/// A broker that follows the catalog.
+/// A fake broker that applies the catalog changes of its feed.
 struct Follower {
     feed: FakeBroker,
     catalog: Catalog,
@@ -166,7 +166,8 @@
         Self { feed, catalog }
     }
 
-    /// Follows until the roll-out is at a stage that `reached` takes, and reports that.
+    /// Applies changes until `reached` holds for the roll-out's stage, then reports the revision as
+    /// in force.
     fn follow_until(&mut self, reached: impl Fn(RolloutStage) -> bool) {
         let service = ServiceName::new("search");
         while !self.catalog.rollouts().get(&service).is_some_and(|known| reached(known.stage)) {
@@ -191,7 +192,8 @@
     }
 }
 
-/// Ordinary answers of present leaves, and as many of two leaves of the version, with failures among them.
+/// Evidence with `present` ordinary answers of present leaves, and `target` answers and `failed`
+/// failures spread over two leaves of the target version.
 fn answers(present: u32, target: u32, failed: u32) -> Evidence {
     let stratum = Stratum { route: "r".into(), distance: Distance::Zone };
     let ordinary = LatencyBucket::of(Duration::from_millis(20));
@@ -211,7 +213,7 @@
 }
 
 #[test]
-fn a_version_whose_answers_fail_is_taken_back_at_every_broker_soon() {
+fn failing_version_is_rolled_back_at_every_broker_within_3_s() {
     let control = start();
     let mut reporter = Follower::subscribe(&control, "b1");
     let mut other = Follower::subscribe(&control, "b2");
@@ -236,14 +238,14 @@
     assert_eq!(order(&control, "v2", 60_000).0, 200);
     for broker in &mut brokers {
         broker.follow_until(|stage| stage.is_under_way());
-        // None of them could judge by itself.
+        // The evidence of a single broker would not decide.
         broker.report(answers(50, 2, 4));
     }
     wait_until(|| stage(&control) == "rolled_back");
 }
 
 #[test]
-fn it_is_completed_only_once_all_brokers_have_moved() {
+fn roll_out_completes_only_once_all_brokers_have_moved() {
     let control = start();
     let mut quick = Follower::subscribe(&control, "b1");
     let mut slow = Follower::subscribe(&control, "b2");
@@ -261,7 +263,7 @@
 }
 
 #[test]
-fn a_version_of_which_nothing_is_heard_is_taken_back_when_its_time_is_over() {
+fn version_without_evidence_is_rolled_back_when_its_time_is_over() {
     let control = start();
     assert_eq!(order(&control, "v2", 1_500).0, 200);
     wait_until(|| stage(&control) == "rolled_back");
@@ -269,7 +271,7 @@
 }
 
 #[test]
-fn an_outcome_and_what_decided_it_survive_a_restart() {
+fn outcome_and_its_evidence_survive_a_restart() {
     let control = start();
     let mut broker = Follower::subscribe(&control, "b1");
     assert_eq!(order(&control, "v2", 60_000).0, 200);
--- a/crates/control/tests/settings.rs
+++ b/crates/control/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings that are wrong: the error names file, field, value and remedy, and nothing starts.
+//! Invalid settings: the error names the file, field, value and remedy, and the process exits.
 
 use std::fs;
 use std::process::{Command, Output};
 
 use rstest::rstest;
 
-/// Settings that are right.
+/// Valid settings.
 const VALID: &str = "name = \"c1\"\noperators = \"127.0.0.1:0\"\nfeed = \"127.0.0.1:1\"\n\
                      data_folder = \"data\"\n";
 
@@ -25,7 +25,8 @@
     VALID.lines().filter(|line| !line.starts_with(&format!("{field} ="))).collect()
 }
 
-/// A line that replaces the one of the same field, or is added, and what the error has to name.
+/// Cases: a line that replaces the line of its field or is added, and the expected texts in the
+/// error.
 #[rstest]
 #[case::name("name = \"c 1\"", &["field name", "`c 1`", "use a letter"])]
 #[case::operators("operators = \"here\"", &["operators", "here", "correct the field"])]
@@ -34,7 +35,7 @@
 #[case::data_folder("data_folder = 3", &["data_folder", "3", "correct the field"])]
 #[case::unknown_field("colour = \"red\"", &["colour", "unknown field", "correct the field"])]
 #[case::not_toml("name = ", &["line 1", "correct the field"])]
-fn a_wrong_field_is_named_with_its_value_and_the_remedy(
+fn invalid_field_is_named_with_its_value_and_the_remedy(
     #[case] line: &str,
     #[case] expected: &[&str],
 ) {
@@ -44,7 +45,7 @@
 }
 
 #[rstest]
-fn a_missing_field_is_named(#[values("name", "operators", "feed", "data_folder")] field: &str) {
+fn missing_field_is_named(#[values("name", "operators", "feed", "data_folder")] field: &str) {
     let output = run(&without(field).join("\n"), &[]);
     assert_refused(&output, &["missing field", field, "correct the field"]);
 }
--- a/crates/control/tests/tenants.rs
+++ b/crates/control/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants at a control process: what is taken, what operators read, and what brokers are told.
+//! Tenants at a control process: validation, operators' tables and the configuration for brokers.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const KEY: &str = "k-3f9c81d2";
 
-/// A document of version 1 with these tenants.
+/// A route document of version 1 with these tenants.
 fn document(tenants: &str) -> String {
     format!(
         r#"{{ "version": 1, "routes": [{{"name":"r","host":"h","path_prefix":"/","repeatable":true,
@@ -25,7 +25,7 @@
     )
 }
 
-fn sound_tenants() -> String {
+fn valid_tenants() -> String {
     format!(
         r#"[{{"name":"kiosk","keys":["{KEY}","k-second"],"priority":2,
         "quota":{{"requests_per_1000_s":41500,"burst_thousandths":20000}},"allowed_regions":["south"]}},
@@ -38,8 +38,8 @@
     Control::start_in("control-1", tempfile::tempdir().unwrap(), zones)
 }
 
-/// What a broker is told of the routes, as it came and as it is understood.
-fn told(control: &Control) -> (Vec<u8>, RouteConfiguration) {
+/// The route configuration that a broker receives, as bytes and decoded.
+fn received_routes(control: &Control) -> (Vec<u8>, RouteConfiguration) {
     let mut broker = FakeBroker::subscribe(control, "broker", 1, 0);
     let document = broker.receive_until(|message| match message {
         FeedMessage::Routes { configuration } => Some(configuration.bytes),
@@ -50,12 +50,12 @@
 }
 
 #[test]
-fn operators_read_their_document_and_brokers_get_digests_only() {
+fn operators_read_their_document_and_brokers_get_only_digests() {
     let control = start();
-    let document = document(&sound_tenants());
+    let document = document(&valid_tenants());
     assert_eq!(control.put_routes(&document), (200, "{\"accepted\":1}".to_owned()));
     assert_eq!(control.read_routes(), (200, document));
-    let (bytes, configuration) = told(&control);
+    let (bytes, configuration) = received_routes(&control);
     let kiosk = &configuration.tenants[0];
     assert_eq!((kiosk.name.as_str(), kiosk.priority, kiosk.keys.len()), ("kiosk", Some(2), 2));
     assert!(kiosk.keys.contains(&KeyDigest::of(KEY.as_bytes())));
@@ -73,9 +73,9 @@
 #[test]
 fn tenants_are_shown_without_their_keys() {
     let control = start();
-    control.put_routes(&document(&sound_tenants()));
+    control.put_routes(&document(&valid_tenants()));
     let rows = control.rows("SHOW TENANTS");
-    // Of the use of a quota a process that has just started may tell something already.
+    // The columns of quota use are skipped: a process that has just started may already fill them.
     assert_eq!(rows[0][..7], ["kiosk", "2", "2", "41.5", "20", "south", "1"]);
     assert_eq!(rows[0].len(), 9);
     assert_eq!(rows[1], ["depot", "0", "of the route", "unlimited", "", "all", "1", "", ""]);
@@ -103,7 +103,7 @@
     "not readable"
 )]
 #[case::key_of_another_kind(r#"[{"name":"a","keys":"k-1"}]"#, "not readable")]
-fn an_invalid_tenant_changes_nothing(#[case] tenants: &str, #[case] reason: &str) {
+fn invalid_tenant_changes_nothing(#[case] tenants: &str, #[case] reason: &str) {
     let control = start();
     let (status, answer) = control.put_routes(&document(tenants));
     assert_eq!(status, 400);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_data_folder_is_accessible_to_its_user_alone() {
+fn data_folder_is_accessible_only_to_its_user() {
     let folder = tempfile::tempdir().unwrap();
     let open = |mode| fs::Permissions::from_mode(mode);
     let earlier = folder.path().join("earlier");
