--- a/crates/control/tests/feed.rs
+++ b/crates/control/tests/feed.rs
@@ -191,7 +191,7 @@
     let renewal = SubscriberMessage::Renew { ticket: 1, in_force: 1 };
     broker.send(&renewal);
     loop {
-        match broker.receive().expect("the feed goes on") {
+        match broker.receive().expect("the feed is open") {
             FeedMessage::Threshold { lowest_admitted, .. } => return lowest_admitted,
             FeedMessage::Lease { .. } => {
                 std::thread::sleep(std::time::Duration::from_secs(1));
--- a/crates/control/tests/former_format.rs
+++ b/crates/control/tests/former_format.rs
@@ -60,12 +60,12 @@
     };
     let open =
         || Storage::open(folder.path(), &owner, Box::new(DiskIo)).map(|opened| opened.recovered);
-    let first = open().expect("it opens");
+    let first = open().expect("the folder opens");
     let snapshot = first.snapshot.clone().expect("a snapshot");
     assert_eq!(snapshot.metadata.position.index, LogIndex(1_000));
     assert!(!first.entries.is_empty());
     assert_eq!(format_version(folder.path()), FORMAT_VERSION);
-    assert_eq!(open().expect("it opens again"), first);
+    assert_eq!(open().expect("the folder opens again"), first);
 }
 
 #[test]
--- a/crates/control/tests/replication/peers.rs
+++ b/crates/control/tests/replication/peers.rs
@@ -40,14 +40,14 @@
             }
             stream
         });
-        let stream = connected.expect("it listens");
+        let stream = connected.expect("the member listens");
         stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("a limit");
         Self { stream, received: BytesMut::new() }
     }
 
     fn send(&mut self, frame: &PeerFrame) {
         let bytes = encode_frame(frame).expect("a frame");
-        self.stream.write_all(&bytes).expect("it is sent");
+        self.stream.write_all(&bytes).expect("the frame is sent");
     }
 
     /// The next frame; `None` once the connection is closed.
@@ -139,7 +139,7 @@
     assert!(matches!(peer.next(), Some(PeerFrame::Welcome { .. })));
     peer.send(&PeerFrame::Probe);
     assert!(matches!(peer.next(), Some(PeerFrame::ProbeReply { .. })));
-    peer.stream.write_all(&bytes).expect("it is sent");
+    peer.stream.write_all(&bytes).expect("the frame is sent");
     assert_eq!(peer.next(), None);
     assert!(member.status().term < Term(99));
     let mut again = Peer::connect(address);
--- a/crates/control/tests/replication/support.rs
+++ b/crates/control/tests/replication/support.rs
@@ -90,20 +90,20 @@
             start_with_io(&settings, ReplicationOptions::default(), Box::new(DiskIo), sender)
                 .map(|_| ())
         });
-        started.expect("a runtime").expect_err("it does not start").to_string()
+        started.expect("a runtime").expect_err("the start fails").to_string()
     }
 
     pub fn propose(&self, command: &'static str) -> Result<(), ProposeError> {
-        self.requests.send(Request::Propose(command)).expect("it runs");
-        match self.answers.recv().expect("it answers") {
+        self.requests.send(Request::Propose(command)).expect("the member runs");
+        match self.answers.recv().expect("the member answers") {
             Answer::Proposed(outcome) => outcome,
             Answer::Status(_) => panic!("unexpected answer"),
         }
     }
 
     pub fn status(&self) -> ReplicationStatus {
-        self.requests.send(Request::Status).expect("it runs");
-        match self.answers.recv().expect("it answers") {
+        self.requests.send(Request::Status).expect("the member runs");
+        match self.answers.recv().expect("the member answers") {
             Answer::Status(status) => *status,
             Answer::Proposed(_) => panic!("another answer"),
         }
@@ -136,7 +136,7 @@
 ) {
     let (sender, mut state_machine) = unbounded::channel();
     let options = ReplicationOptions::default();
-    let log = start_with_io(&settings, options, io, sender).expect("it starts");
+    let log = start_with_io(&settings, options, io, sender).expect("the member starts");
     monoio::spawn(async move {
         while let Some(message) = state_machine.recv().await {
             if let StateMachineMessage::Apply { command, .. } = message {
@@ -150,7 +150,7 @@
             Ok(Request::Status) => {
                 let (reply, receiver) = oneshot::channel();
                 let _ = log.send(ReplicationMessage::Status { reply });
-                Answer::Status(Box::new(receiver.await.expect("it answers")))
+                Answer::Status(Box::new(receiver.await.expect("the member answers")))
             }
             Ok(Request::Stop) => {
                 // Dropping the sender wakes the log's task, which ends during this pause.
--- a/crates/control/tests/seeds.rs
+++ b/crates/control/tests/seeds.rs
@@ -369,8 +369,8 @@
 /// cluster loses its disk within about 20 ms of the acknowledgement. It came back empty and asked
 /// the other two whether they had a log: the third had none yet, and the one with the configuration
 /// denied it, because its flag was set by periodic maintenance instead of with the first write. The
-/// process then formed a second cluster (`cluster_formed` twice in its log, 20 ms apart), which the
-/// others joined.
+/// process then formed a second cluster (`cluster_formed` twice in its log, 20 ms apart, then
+/// `role_changed` to a leader of the same term with another identity), which the others joined.
 #[test]
 fn disk_loss_right_after_the_first_acknowledgement_loses_no_configuration() {
     for _ in 0..DISK_LOSS_ROUNDS {
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -87,9 +87,9 @@
 #[test]
 fn folder_keeps_its_first_identity() {
     let folder = TempDir::new().expect("a folder");
-    let first = open(folder.path()).expect("it opens").identity;
+    let first = open(folder.path()).expect("the folder opens").identity;
     let later = FolderOwner { new_incarnation: Incarnation(99), ..owner() };
-    let second = Storage::open(folder.path(), &later, Box::new(DiskIo)).expect("it opens");
+    let second = Storage::open(folder.path(), &later, Box::new(DiskIo)).expect("the folder opens");
     assert_eq!(first.incarnation, Incarnation(7));
     assert_eq!(second.identity, first);
 }
@@ -152,7 +152,7 @@
 
 /// Persists two batches; returns the segment and the offset of the second record.
 fn two_records(folder: &TempDir) -> (PathBuf, u64) {
-    let mut opened = open(folder.path()).expect("it opens");
+    let mut opened = open(folder.path()).expect("the folder opens");
     opened.storage.persist(vec![write(vec![entry(1, 1)])]).expect("persisted");
     let path = segments(folder.path()).pop().expect("a segment");
     let first = fs::metadata(&path).expect("a file").len();
@@ -187,7 +187,7 @@
     let mut bytes = fs::read(&path).expect("readable");
     bytes[at] ^= 0x01;
     fs::write(&path, bytes).expect("writable");
-    let error = open(folder.path()).err().expect("it is refused");
+    let error = open(folder.path()).err().expect("the folder is refused");
     assert!(matches!(error, StorageError::Corrupted(..)), "{error}");
     assert!(error.to_string().contains("rejoins as a new member"), "{error}");
 }
@@ -196,7 +196,7 @@
 fn missing_segment_is_refused() {
     let folder = TempDir::new().expect("a folder");
     for index in 1..=3 {
-        let mut opened = open(folder.path()).expect("it opens");
+        let mut opened = open(folder.path()).expect("the folder opens");
         opened.storage.persist(vec![write(vec![entry(1, index)])]).expect("persisted");
     }
     fs::remove_file(&segments(folder.path())[1]).expect("removed");
@@ -259,7 +259,7 @@
 #[test]
 fn folder_in_use_is_refused() {
     let folder = TempDir::new().expect("a folder");
-    let _held = open(folder.path()).expect("it opens");
+    let _held = open(folder.path()).expect("the folder opens");
     assert!(matches!(open(folder.path()).err(), Some(StorageError::InUse(_))));
 }
 
@@ -302,7 +302,7 @@
 }
 
 fn open_faulty(folder: &Path, io: &FaultyIo) -> Storage {
-    Storage::open(folder, &owner(), Box::new(io.clone())).expect("it opens").storage
+    Storage::open(folder, &owner(), Box::new(io.clone())).expect("the folder opens").storage
 }
 
 #[test]
@@ -313,7 +313,7 @@
     io.faults.lock().expect("no panic").max_write_bytes = Some(3);
     storage.persist(vec![write(vec![entry(1, 1)])]).expect("persisted");
     drop(storage);
-    assert_eq!(indexes(&open(folder.path()).expect("it opens").recovered), [(1, 1)]);
+    assert_eq!(indexes(&open(folder.path()).expect("the folder opens").recovered), [(1, 1)]);
 }
 
 #[rstest]
@@ -332,7 +332,10 @@
     io.faults.lock().expect("no panic").free_bytes = None;
     storage.persist(vec![write(vec![entry(1, 2)])]).expect("persisted");
     drop(storage);
-    assert_eq!(indexes(&open(folder.path()).expect("it opens").recovered), [(1, 1), (1, 2)]);
+    assert_eq!(
+        indexes(&open(folder.path()).expect("the folder opens").recovered),
+        [(1, 1), (1, 2)]
+    );
 }
 
 #[test]
@@ -344,7 +347,7 @@
     io.faults.lock().expect("no panic").free_bytes = Some(25);
     storage.persist(vec![write(vec![entry(1, 2)])]).expect_err("full");
     drop(storage);
-    assert_eq!(indexes(&open(folder.path()).expect("it opens").recovered), [(1, 1)]);
+    assert_eq!(indexes(&open(folder.path()).expect("the folder opens").recovered), [(1, 1)]);
 }
 
 #[test]
@@ -382,7 +385,7 @@
     let writer = Writer::start(storage).expect("a thread");
     let number = WriteNumber(5);
     let persist = WriterMessage::Persist(Write { number, ..write(vec![entry(1, 1)]) });
-    writer.messages.send(persist).expect("it runs");
+    writer.messages.send(persist).expect("the writer runs");
     assert!(matches!(writer.events.recv(), Ok(WriterEvent::Full(_))));
     io.faults.lock().expect("no panic").free_bytes = None;
     assert!(matches!(writer.events.recv(), Ok(WriterEvent::Persisted(found)) if found == number));
@@ -391,7 +394,7 @@
 #[test]
 fn large_log_is_split_into_segments() {
     let folder = TempDir::new().expect("a folder");
-    let mut opened = open(folder.path()).expect("it opens");
+    let mut opened = open(folder.path()).expect("the folder opens");
     for index in 1..=10 {
         let payload = Payload::Command(Bytes::from(vec![7; 1024 * 1024]));
         let entry = Entry { term: Term(1), index: LogIndex(index), payload };
@@ -399,7 +402,7 @@
     }
     drop(opened);
     assert!(segments(folder.path()).len() > 1);
-    assert_eq!(open(folder.path()).expect("it opens").recovered.entries.len(), 10);
+    assert_eq!(open(folder.path()).expect("the folder opens").recovered.entries.len(), 10);
 }
 
 #[test]
--- a/crates/control/tests/support/mod.rs
+++ b/crates/control/tests/support/mod.rs
@@ -246,7 +246,7 @@
     /// The first message for which `select` returns a value; skips the others.
     pub fn receive_until<T>(&mut self, select: impl Fn(FeedMessage) -> Option<T>) -> T {
         loop {
-            let message = self.receive().expect("the feed goes on");
+            let message = self.receive().expect("the feed is open");
             if let Some(selected) = select(message) {
                 return selected;
             }
@@ -257,7 +257,7 @@
     pub fn follow_to(&mut self, last: u64) -> (bool, Vec<u64>) {
         let (mut whole, mut revisions) = (false, Vec::new());
         loop {
-            match self.receive().expect("the feed goes on") {
+            match self.receive().expect("the feed is open") {
                 FeedMessage::FullCatalog { catalog } => {
                     let catalog: gingerkeel_domain::catalog::Catalog =
                         gingerkeel_protocol::decode_document(&catalog.bytes).unwrap();
