--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,9 @@
-//! The control process: it accepts operators' statements, holds the replicated state and feeds
-//! brokers.
+//! The control process: accepts operators' statements, holds the replicated state and serves the
+//! brokers' feeds.
 
 mod change_proposals;
 mod cluster_task;
+mod configured_zones;
 mod directory_polling;
 pub mod entries;
 mod error;
@@ -12,7 +13,6 @@
 mod native_routes;
 mod operators;
 mod order_checks;
-mod places;
 pub mod ports;
 mod reload;
 pub mod replication;
@@ -41,31 +41,31 @@
 pub use error::ControlError;
 
 use crate::cluster_task::{OwnIdentity, TaskSenders};
+use crate::configured_zones::ConfiguredZones;
 use crate::native_directory::NativeDirectory;
 use crate::native_routes::NativeRoutes;
 use crate::order_checks::OrderChecks;
-use crate::places::KnownPlaces;
 use crate::ports::{DirectoryInterface, RouteInterface};
 use crate::replication::ReplicationOptions;
 use crate::replication_client::ReplicationClient;
 
-/// Pause after a connection could not be accepted, as when descriptors are short.
+/// Pause after a failed `accept`, for example when the process has run out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a control process speaks besides its own protocols.
+/// Optional interfaces of a control process to systems outside the cluster.
 #[derive(Default)]
 pub struct Interfaces {
-    /// With operators of routes.
+    /// HTTP interface for routes, zones and roll-outs; served if the settings name its address.
     pub routes: Option<Rc<dyn RouteInterface>>,
-    /// With the directory of leaves.
+    /// External directory of leaves; polled if the settings name its address.
     pub directory: Option<Rc<dyn DirectoryInterface>>,
 }
 
-/// Serves operators and brokers until the process ends. When `source` changes, it is said whether
-/// that needs a restart.
+/// Serves operators and brokers until the process ends. When the settings file in `source`
+/// changes, logs whether the change needs a restart.
 ///
 /// # Errors
-/// A [`ControlError`] when an address or the data folder cannot be used.
+/// A [`ControlError`] if an address or the data folder cannot be used.
 pub async fn run(
     settings: ControlSettings,
     source: Option<SettingsSource<ControlSettings>>,
@@ -74,14 +74,14 @@
         routes: Some(Rc::new(NativeRoutes)),
         directory: Some(Rc::new(NativeDirectory)),
     };
-    run_with(settings, source, interfaces).await
+    run_with_interfaces(settings, source, interfaces).await
 }
 
-/// As [`run`], with other interfaces besides the own ones.
+/// Same as [`run`], with the given interfaces instead of the native ones.
 ///
 /// # Errors
-/// As [`run`].
-pub async fn run_with(
+/// Same as [`run`].
+pub async fn run_with_interfaces(
     settings: ControlSettings,
     source: Option<SettingsSource<ControlSettings>>,
     interfaces: Interfaces,
@@ -104,7 +104,7 @@
         feed: settings.feed,
     };
     let checks = Rc::new(OrderChecks {
-        places: KnownPlaces::new(&settings.zone_regions),
+        zones: ConfiguredZones::new(&settings.zone_regions),
         limit: ExposureLimit {
             share: PartsPerMillion(settings.rollout.exposed_ppm),
             slack: settings.rollout.exposed_slack,
--- a/crates/control/src/route_operators.rs
+++ b/crates/control/src/route_operators.rs
@@ -1,4 +1,4 @@
-//! The operators' calls about routes and zones.
+//! Serves operators' calls about routes, zones and roll-outs.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 use tracing::{debug, info, warn};
 
 use crate::cluster_task::ClusterMessage;
+use crate::configured_zones::ConfiguredZones;
 use crate::order_checks::OrderChecks;
-use crate::places::KnownPlaces;
 use crate::ports::{RouteAnswer, RouteCall, RouteInterface};
 use crate::rollout_orders::{self, RolloutOrderError};
 use crate::zone_orders::{ZoneOrder, ZoneOrderError, carry_out, check_zone};
 
-/// Time that a call has; then its outcome is unknown.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+/// Time limit for a call; after it the outcome is unknown.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts operators' connections for ever.
+/// Accepts operators' connections until the process ends.
 pub async fn serve(
     listener: TcpListener,
     interface: Rc<dyn RouteInterface>,
@@ -34,7 +34,12 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                monoio::spawn(converse(stream, interface.clone(), checks.clone(), cluster.clone()));
+                monoio::spawn(serve_connection(
+                    stream,
+                    interface.clone(),
+                    checks.clone(),
+                    cluster.clone(),
+                ));
             }
             Err(error) => {
                 warn!(event = "accept_failed", listener = "routes", %error);
@@ -44,7 +49,7 @@
     }
 }
 
-async fn converse(
+async fn serve_connection(
     stream: TcpStream,
     interface: Rc<dyn RouteInterface>,
     checks: Rc<OrderChecks>,
@@ -56,7 +61,7 @@
     {
         debug!(event = "operator_connection_ended", %error);
         let answer = interface.answer(RouteAnswer::Invalid(error.to_string()));
-        // The peer may be gone; then there is nobody to tell.
+        // Best effort: the peer may have closed the connection.
         let _ = connection.respond(answer).await;
     }
 }
@@ -80,23 +85,23 @@
     checks: &OrderChecks,
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
-    match interface.understand(request) {
+    match interface.parse_call(request) {
         Ok(RouteCall::Replace(routes)) => {
-            replace(*routes, interface, &checks.places, cluster).await
+            replace_routes(*routes, interface, &checks.zones, cluster).await
         }
-        Ok(RouteCall::Evacuate(zone)) => match check_zone(&zone, &checks.places, cluster).await {
-            Ok(()) => order(ZoneOrder { zone, evacuate: true }, interface, cluster).await,
-            Err(error) => zone_refused(&zone, &error, interface),
+        Ok(RouteCall::Evacuate(zone)) => match check_zone(&zone, &checks.zones, cluster).await {
+            Ok(()) => order_zone(ZoneOrder { zone, evacuate: true }, interface, cluster).await,
+            Err(error) => answer_zone_error(&zone, &error, interface),
         },
         Ok(RouteCall::Restore(zone)) => {
-            order(ZoneOrder { zone, evacuate: false }, interface, cluster).await
+            order_zone(ZoneOrder { zone, evacuate: false }, interface, cluster).await
         }
         Ok(RouteCall::BeginRollout { service, target, within }) => {
             let order = rollout_orders::order(service, target, within, checks.limit);
             begin_rollout(&order, interface, cluster).await
         }
         Ok(RouteCall::ReadRollout(service)) => read_rollout(service, interface, cluster).await,
-        Ok(RouteCall::Read) => read(interface, cluster).await,
+        Ok(RouteCall::Read) => read_routes(interface, cluster).await,
         Ok(RouteCall::Unknown) => interface.answer(RouteAnswer::Unknown),
         Err(error) => {
             info!(event = "routes_refused", %error);
@@ -105,15 +110,15 @@
     }
 }
 
-async fn replace(
+async fn replace_routes(
     routes: AcceptedRoutes,
     interface: &dyn RouteInterface,
-    places: &KnownPlaces,
+    zones: &ConfiguredZones,
     cluster: &Tx<ClusterMessage>,
 ) -> HttpResponse {
     let version = routes.configuration.version.0;
     let valid = routes.configuration.validate();
-    if let Err(error) = valid.and_then(|()| places.check_regions(&routes.configuration)) {
+    if let Err(error) = valid.and_then(|()| zones.check_regions(&routes.configuration)) {
         info!(event = "routes_refused", version, %error);
         return interface.answer(RouteAnswer::Invalid(error.to_string()));
     }
@@ -121,7 +126,7 @@
     let message = ClusterMessage::ReplaceRoutes { routes: Arc::new(routes), reply };
     // The cluster task lives as long as the process.
     let _ = cluster.send(message);
-    let error = match timeout(CALL_LIMIT, receiver).await {
+    let error = match timeout(CALL_TIMEOUT, receiver).await {
         Ok(Ok(Ok(accepted))) => {
             info!(event = "routes_acknowledged", version, accepted = accepted.0);
             return interface.answer(RouteAnswer::Accepted(accepted));
@@ -133,7 +138,7 @@
     interface.answer(RouteAnswer::Unavailable(error))
 }
 
-async fn order(
+async fn order_zone(
     order: ZoneOrder,
     interface: &dyn RouteInterface,
     cluster: &Tx<ClusterMessage>,
@@ -143,11 +148,11 @@
             info!(event = "zone_ordered", zone = %order.zone, evacuate = order.evacuate);
             interface.answer(RouteAnswer::ZoneOrdered)
         }
-        Err(error) => zone_refused(&order.zone, &error, interface),
+        Err(error) => answer_zone_error(&order.zone, &error, interface),
     }
 }
 
-fn zone_refused(
+fn answer_zone_error(
     zone: &ZoneName,
     error: &ZoneOrderError,
     interface: &dyn RouteInterface,
@@ -196,11 +201,11 @@
     }
 }
 
-async fn read(interface: &dyn RouteInterface, cluster: &Tx<ClusterMessage>) -> HttpResponse {
+async fn read_routes(interface: &dyn RouteInterface, cluster: &Tx<ClusterMessage>) -> HttpResponse {
     let (reply, receiver) = oneshot::channel();
     // The cluster task lives as long as the process.
     let _ = cluster.send(ClusterMessage::ReadRoutes { reply });
-    match timeout(CALL_LIMIT, receiver).await {
+    match timeout(CALL_TIMEOUT, receiver).await {
         Ok(Ok(Ok(Some(routes)))) => interface.answer(RouteAnswer::Current(&routes)),
         Ok(Ok(Ok(None))) => interface.answer(RouteAnswer::Empty),
         Ok(Ok(Err(error))) => interface.answer(RouteAnswer::Unavailable(error.to_string())),
--- a/crates/control/tests/leaf_refusals.rs
+++ b/crates/control/tests/leaf_refusals.rs
@@ -1,11 +1,11 @@
-//! What brokers of one control process find of leaves, and which of it those of another hear.
+//! Which leaf observations of a broker reach the brokers of other control processes.
 
 mod support;
 
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::leaf_warnings::{LeafObservation, LeafWarning, WarningCause};
 use gingerkeel_protocol::{FeedMessage, SubscriberMessage, decode_document, encode_document};
-use support::HollowBroker;
+use support::FakeBroker;
 use support::cluster::Cluster;
 
 fn observation(leaf: &str) -> LeafObservation {
@@ -18,24 +18,25 @@
     }
 }
 
-fn report(broker: &mut HollowBroker, seen: LeafObservation) {
-    let observations = encode_document(&vec![seen]).unwrap().into();
+fn report(broker: &mut FakeBroker, observation: LeafObservation) {
+    let observations = encode_document(&vec![observation]).unwrap().into();
     broker.send(&SubscriberMessage::SlowLeaves { observations });
 }
 
-fn next_warnings(broker: &mut HollowBroker) -> Vec<LeafWarning> {
+fn next_warnings(broker: &mut FakeBroker) -> Vec<LeafWarning> {
     broker.receive_until(|message| match message {
         FeedMessage::LeafWarnings { warnings } => Some(decode_document(&warnings.bytes).unwrap()),
         _ => None,
     })
 }
 
-/// Slow and failing leaves are known to the brokers of one process only, refusing ones to all.
+/// Warnings of slow and failing leaves go to the brokers of one process only, those of refusing
+/// leaves to all brokers.
 #[test]
-fn refusals_are_told_to_the_brokers_of_all_control_processes() {
+fn refusing_leaf_is_reported_to_the_brokers_of_all_control_processes() {
     let cluster = Cluster::start(2);
     let subscribe =
-        |member: usize, name| HollowBroker::subscribe(&cluster.members[member].control, name, 1, 0);
+        |member: usize, name| FakeBroker::subscribe(&cluster.members[member].control, name, 1, 0);
     let [mut one, mut two, mut far] = [subscribe(0, "b1"), subscribe(0, "b2"), subscribe(1, "b3")];
     for broker in [&mut one, &mut two, &mut far] {
         broker.renew(1, 0);
@@ -46,8 +47,8 @@
     assert_eq!(next_warnings(&mut one)[0].cause, WarningCause::Failing);
     let refusing = LeafObservation { refused_ms_ago: vec![10], ..observation("refusing") };
     report(&mut one, refusing);
-    let heard = next_warnings(&mut far);
-    let heard: Vec<(&str, WarningCause)> =
-        heard.iter().map(|warning| (warning.leaf.as_str(), warning.cause)).collect();
-    assert_eq!(heard, [("refusing", WarningCause::Refusing)]);
+    let warnings = next_warnings(&mut far);
+    let warnings: Vec<(&str, WarningCause)> =
+        warnings.iter().map(|warning| (warning.leaf.as_str(), warning.cause)).collect();
+    assert_eq!(warnings, [("refusing", WarningCause::Refusing)]);
 }
