--- a/crates/domain/src/dispatch/scatter.rs
+++ b/crates/domain/src/dispatch/scatter.rs
@@ -7,8 +7,8 @@
 use crate::admission::RefusalReason;
 use crate::identifiers::{LeafId, LeafRequestId, QueryId, ServiceName, ShardId, Snapshot};
 use crate::query::{
-    Attempt, AttemptKind, Execution, LeafFailure, LeafReply, NotRunReason, Owed, Progress,
-    QueryOutcome, SnapshotDirectory,
+    Attempt, AttemptKind, Execution, InFlightRequest, LeafFailure, LeafReply, NotRunReason,
+    Progress, QueryOutcome, SnapshotDirectory,
 };
 use crate::routing::{Exclusions, Observation, ShardTable};
 use crate::tail::{TailControl, TailSettings};
@@ -395,7 +395,7 @@
         &mut self,
         now: Timestamp,
         query: QueryId,
-        owed: &[Owed],
+        owed: &[InFlightRequest],
         effects: &mut Vec<Effect>,
     ) {
         let service = self.queries.get(&query).map(|active| &active.submission.service);
@@ -411,7 +411,7 @@
         &mut self,
         now: Timestamp,
         late: Option<Duration>,
-        owed: &[Owed],
+        owed: &[InFlightRequest],
         effects: &mut Vec<Effect>,
     ) {
         for owed in owed {
--- a/crates/domain/src/query/execution.rs
+++ b/crates/domain/src/query/execution.rs
@@ -61,7 +61,7 @@
 
 /// A leaf request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Owed {
+pub struct InFlightRequest {
     /// Its identifier.
     pub request: LeafRequestId,
     /// The leaf that has it.
@@ -280,7 +280,7 @@
     }
 
     /// All requests in flight.
-    pub fn in_flight(&self) -> Vec<Owed> {
+    pub fn in_flight(&self) -> Vec<InFlightRequest> {
         let mut owed = Vec::new();
         for (route, progress) in self.table.shards.iter().zip(&self.shards) {
             owed.extend(self.owed_by(route.shard, progress));
@@ -289,11 +289,12 @@
     }
 
     /// Takes the requests of a shard that are in flight back; their replies are not wanted.
-    pub fn withdraw(&mut self, shard: ShardId) -> SmallVec<[Owed; 2]> {
+    pub fn withdraw(&mut self, shard: ShardId) -> SmallVec<[InFlightRequest; 2]> {
         let Some(index) = self.index(shard) else {
             return SmallVec::new();
         };
-        let owed: SmallVec<[Owed; 2]> = self.owed_by(shard, &self.shards[index]).collect();
+        let owed: SmallVec<[InFlightRequest; 2]> =
+            self.owed_by(shard, &self.shards[index]).collect();
         for request in &owed {
             self.shards[index].end_attempt(request.request.attempt, AttemptState::MayHaveRun);
         }
@@ -422,11 +423,11 @@
         &self,
         shard: ShardId,
         progress: &'progress ShardProgress,
-    ) -> impl Iterator<Item = Owed> + use<'progress> {
+    ) -> impl Iterator<Item = InFlightRequest> + use<'progress> {
         let query = self.query;
         let in_flight =
             progress.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight);
-        in_flight.map(move |attempt| Owed {
+        in_flight.map(move |attempt| InFlightRequest {
             request: LeafRequestId { query, shard, attempt: attempt.number },
             leaf: attempt.leaf,
             sent: attempt.sent,
