--- a/crates/domain/src/admission/mod.rs
+++ b/crates/domain/src/admission/mod.rs
@@ -15,7 +15,7 @@
 pub use drain_rate::DrainRate;
 pub use overload::{ADMIT_ALL, ClassPressure, OverloadReport};
 pub use run_time::FastestRun;
-pub use ticket::{ClassLimit, Decision, Finished, Refusal, RefusalReason, Ticket};
+pub use ticket::{ClassLimit, Decision, Refusal, RefusalReason, SlotRelease, Ticket};
 
 /// Shortest advice to a caller whose class is shut out: the threshold changes no faster.
 const THRESHOLD_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -114,7 +114,7 @@
     }
 
     /// A running query ended; starts what may start now.
-    pub fn finished(&mut self, now: Timestamp, ended: Finished, decisions: &mut Vec<Decision>) {
+    pub fn finished(&mut self, now: Timestamp, ended: SlotRelease, decisions: &mut Vec<Decision>) {
         self.running = self.running.saturating_sub(1);
         self.drain_rate.record(ended.held);
         if ended.answered
--- a/crates/domain/src/admission/ticket.rs
+++ b/crates/domain/src/admission/ticket.rs
@@ -81,7 +81,7 @@
 
 /// A query that ends and gives its slot back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finished {
+pub struct SlotRelease {
     /// Priority of its class.
     pub priority: u8,
     /// Time for which it held the slot.
--- a/crates/domain/src/dispatch/active.rs
+++ b/crates/domain/src/dispatch/active.rs
@@ -1,6 +1,6 @@
 //! A query that waits or runs.
 
-use crate::admission::{Finished, Ticket};
+use crate::admission::{SlotRelease, Ticket};
 use crate::catalog::{AnswerPolicy, ClassPolicy};
 use crate::identifiers::QueryId;
 use crate::query::{Execution, Submission};
@@ -51,9 +51,9 @@
     }
 
     /// What admission is told when the query gives its slot back.
-    pub(super) fn finished(&self, now: Timestamp, answered: bool) -> Finished {
+    pub(super) fn finished(&self, now: Timestamp, answered: bool) -> SlotRelease {
         let held = self.started.map(|started| now.since(started)).unwrap_or_default();
-        Finished { priority: self.scheduled_priority, held, answered }
+        SlotRelease { priority: self.scheduled_priority, held, answered }
     }
 
     /// When the query is answered, if there is something to answer with.
--- a/crates/domain/tests/admission.rs
+++ b/crates/domain/tests/admission.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::admission::{
-    ADMIT_ALL, Admission, ClassLimit, Decision, DrainRate, FastestRun, Finished, RefusalReason,
+    ADMIT_ALL, Admission, ClassLimit, Decision, DrainRate, FastestRun, RefusalReason, SlotRelease,
     Ticket,
 };
 use gingerkeel_domain::catalog::{AnswerPolicy, Change, ClassPolicy};
@@ -41,7 +41,7 @@
     held: Duration,
 ) -> Vec<Decision> {
     let mut decisions = Vec::new();
-    admission.finished(now, Finished { priority, held, answered: true }, &mut decisions);
+    admission.finished(now, SlotRelease { priority, held, answered: true }, &mut decisions);
     decisions
 }
 
