--- a/crates/domain/src/budget/mod.rs
+++ b/crates/domain/src/budget/mod.rs
@@ -12,7 +12,7 @@
 
 /// Why a price was not paid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unpaid {
+pub enum BudgetError {
     /// The caller has no account.
     UnknownCaller,
     /// The budget is spent until this time has passed.
@@ -42,10 +42,15 @@
     /// Pays `price` for a query that is about to be admitted.
     ///
     /// # Errors
-    /// [`Unpaid`] when the caller has no account or too little in it; nothing is taken then.
-    pub fn pay(&mut self, now: Timestamp, caller: &CallerName, price: u64) -> Result<(), Unpaid> {
-        let bucket = self.buckets.get_mut(caller).ok_or(Unpaid::UnknownCaller)?;
-        bucket.take(now, price).map_err(Unpaid::BudgetSpent)
+    /// [`BudgetError`] when the caller has no account or too little in it; nothing is taken then.
+    pub fn pay(
+        &mut self,
+        now: Timestamp,
+        caller: &CallerName,
+        price: u64,
+    ) -> Result<(), BudgetError> {
+        let bucket = self.buckets.get_mut(caller).ok_or(BudgetError::UnknownCaller)?;
+        bucket.take(now, price).map_err(BudgetError::BudgetSpent)
     }
 
     /// Gives `price` back for a query that was not answered.
--- a/crates/domain/src/dispatch/intake.rs
+++ b/crates/domain/src/dispatch/intake.rs
@@ -2,7 +2,7 @@
 
 use super::{ActiveQuery, DEFAULT_RETRY_AFTER, Dispatcher, Effect};
 use crate::admission::RefusalReason;
-use crate::budget::Unpaid;
+use crate::budget::BudgetError;
 use crate::catalog::ClassPolicy;
 use crate::cluster::ChargeKey;
 use crate::identifiers::QueryId;
@@ -135,8 +135,8 @@
         let policy = policy.ok_or_else(|| refused(RefusalReason::NotServed))?;
         let paid = self.budgets.pay(now, &submission.caller, policy.price);
         paid.map(|()| policy).map_err(|unpaid| match unpaid {
-            Unpaid::UnknownCaller => refused(RefusalReason::UnknownCaller),
-            Unpaid::BudgetSpent(retry_after) => {
+            BudgetError::UnknownCaller => refused(RefusalReason::UnknownCaller),
+            BudgetError::BudgetSpent(retry_after) => {
                 QueryOutcome::NotRun { reason: RefusalReason::BudgetSpent, retry_after }
             }
         })
--- a/crates/domain/tests/budgets.rs
+++ b/crates/domain/tests/budgets.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::admission::RefusalReason;
-use gingerkeel_domain::budget::{Budgets, Unpaid};
+use gingerkeel_domain::budget::{BudgetError, Budgets};
 use gingerkeel_domain::catalog::{AnswerPolicy, CallerAccount, Catalog, Change};
 use gingerkeel_domain::cluster::{ChargeCounter, ChargeKey, Charges, WallTime};
 use gingerkeel_domain::dispatch::{Effect, Event, SchedulingPolicy};
@@ -31,10 +31,10 @@
 fn a_full_bucket_holds_the_burst_and_fills_at_the_rate() {
     let mut budgets = budgets(10, 20);
     assert_eq!(budgets.pay(START, &caller(), 20), Ok(()));
-    assert_eq!(budgets.pay(START, &caller(), 5), Err(Unpaid::BudgetSpent(millis(500))));
+    assert_eq!(budgets.pay(START, &caller(), 5), Err(BudgetError::BudgetSpent(millis(500))));
     assert_eq!(
         budgets.pay(START.after(millis(499)), &caller(), 5),
-        Err(Unpaid::BudgetSpent(millis(1)))
+        Err(BudgetError::BudgetSpent(millis(1)))
     );
     assert_eq!(budgets.pay(START.after(millis(500)), &caller(), 5), Ok(()));
     let long_after = START.after(Duration::from_secs(3600));
@@ -70,7 +70,7 @@
     let account = CallerAccount { budget_per_second: 0, burst: 100 };
     budgets.reconfigure(START, &[(caller(), account)].into());
     assert!(budgets.pay(START, &caller(), 3).is_err());
-    assert_eq!(budgets.pay(START, &CallerName::new("other"), 0), Err(Unpaid::UnknownCaller));
+    assert_eq!(budgets.pay(START, &CallerName::new("other"), 0), Err(BudgetError::UnknownCaller));
 }
 
 /// A dispatcher whose caller can pay for two queries and earns nothing.
