--- a/crates/domain/src/dispatch/scatter.rs
+++ b/crates/domain/src/dispatch/scatter.rs
@@ -113,8 +113,8 @@
             let fresh = Exclusions { tried: &tried, refused: &refused };
             let random = self.random.as_mut();
             self.router.choose(now, route, fresh, random).or_else(|| {
-                let unfit = execution.unfit(shard);
-                let again = Exclusions { tried: &unfit, refused: &refused };
+                let excluded_from_retry = execution.excluded_from_retry(shard);
+                let again = Exclusions { tried: &excluded_from_retry, refused: &refused };
                 self.router.choose(now, route, again, random)
             })
         });
--- a/crates/domain/src/query/execution.rs
+++ b/crates/domain/src/query/execution.rs
@@ -199,12 +199,14 @@
     }
 
     /// Leaves of the shard that it makes no sense to ask again: they refused, or have it still.
-    pub fn unfit(&self, shard: ShardId) -> SmallVec<[LeafId; 4]> {
-        let unfit = |attempt: &&Attempt| {
+    pub fn excluded_from_retry(&self, shard: ShardId) -> SmallVec<[LeafId; 4]> {
+        let excluded_from_retry = |attempt: &&Attempt| {
             matches!(attempt.state, AttemptState::NotRun | AttemptState::InFlight)
         };
         self.progress_of(shard)
-            .map(|progress| progress.attempts.iter().filter(unfit).map(|a| a.leaf).collect())
+            .map(|progress| {
+                progress.attempts.iter().filter(excluded_from_retry).map(|a| a.leaf).collect()
+            })
             .unwrap_or_default()
     }
 
