--- a/crates/domain/src/dispatch/scatter.rs
+++ b/crates/domain/src/dispatch/scatter.rs
@@ -263,7 +263,7 @@
         let may_restart = execution.may_restart();
         let other = view.snapshots.newer(now, lost).or_else(|| {
             let exhausted = !self.has_other_replica(now, execution, view, shard);
-            exhausted.then(|| view.snapshots.another(now, lost)).flatten()
+            exhausted.then(|| view.snapshots.alternative(now, lost)).flatten()
         });
         let target = other.filter(|_| may_restart).and_then(|other| self.target(service, other));
         match target {
--- a/crates/domain/src/query/snapshots.rs
+++ b/crates/domain/src/query/snapshots.rs
@@ -68,7 +68,7 @@
     }
 
     /// Another snapshot than `lost`, newest first, on which a query may start over.
-    pub fn another(&self, now: Timestamp, lost: Snapshot) -> Option<Snapshot> {
+    pub fn alternative(&self, now: Timestamp, lost: Snapshot) -> Option<Snapshot> {
         let open = |snapshot: &&Snapshot| **snapshot != lost && !self.is_blocked(now, **snapshot);
         self.published.iter().find(open).copied()
     }
