--- a/crates/domain/src/dispatch/intake.rs
+++ b/crates/domain/src/dispatch/intake.rs
@@ -31,7 +31,7 @@
             Claim::Unrecorded(reason) => {
                 self.answer(submission.query, QueryOutcome::Unrecorded(reason), effects)
             }
-            Claim::Taken => {
+            Claim::UsedByOtherRequest => {
                 let outcome = refused(RefusalReason::KeyTaken);
                 self.answer(submission.query, outcome, effects);
             }
--- a/crates/domain/src/request_key/table.rs
+++ b/crates/domain/src/request_key/table.rs
@@ -44,7 +44,7 @@
     /// Nothing tells whether it ran.
     Unrecorded(UnrecordedReason),
     /// The key belongs to another request; this one does not run.
-    Taken,
+    UsedByOtherRequest,
 }
 
 #[derive(Debug)]
@@ -144,7 +144,7 @@
             KeyState::Running { digest, .. } | KeyState::Recorded { digest, .. }
                 if *digest != request.digest =>
             {
-                Claim::Taken
+                Claim::UsedByOtherRequest
             }
             KeyState::Running { query, .. } => Claim::Attach(*query),
             KeyState::Recorded { outcome, .. } => Claim::Recorded(outcome.clone()),
