--- a/crates/domain/src/budget/bucket.rs
+++ b/crates/domain/src/budget/bucket.rs
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    pub(super) fn give_back(&mut self, now: Timestamp, price: u64) {
+    pub(super) fn refund(&mut self, now: Timestamp, price: u64) {
         self.refill(now);
         self.level = (self.level + u128::from(price) * MILLIONTHS).min(self.capacity);
     }
--- a/crates/domain/src/budget/mod.rs
+++ b/crates/domain/src/budget/mod.rs
@@ -54,9 +54,9 @@
     }
 
     /// Gives `price` back for a query that was not answered.
-    pub fn give_back(&mut self, now: Timestamp, caller: &CallerName, price: u64) {
+    pub fn refund(&mut self, now: Timestamp, caller: &CallerName, price: u64) {
         if let Some(bucket) = self.buckets.get_mut(caller) {
-            bucket.give_back(now, price);
+            bucket.refund(now, price);
         }
     }
 }
--- a/crates/domain/src/dispatch/intake.rs
+++ b/crates/domain/src/dispatch/intake.rs
@@ -49,7 +49,7 @@
         let Some(active) = self.forget(query) else {
             return;
         };
-        self.give_back(now, &active);
+        self.refund(now, &active);
         if active.started.is_some() {
             self.release(now, &active, false, effects);
         } else if let Some(admission) = self.admissions.get_mut(&active.submission.service) {
@@ -69,7 +69,7 @@
         if matches!(outcome, QueryOutcome::Answered(_)) {
             self.charge(active);
         } else {
-            self.give_back(now, active);
+            self.refund(now, active);
         }
         if let Some(keyed) = &active.submission.key {
             self.keys.record(now, &keyed.key, &outcome);
@@ -147,8 +147,8 @@
         self.charges.charge(ChargeKey { caller, service, class }, active.policy.price);
     }
 
-    fn give_back(&mut self, now: Timestamp, active: &ActiveQuery) {
-        self.budgets.give_back(now, &active.submission.caller, active.policy.price);
+    fn refund(&mut self, now: Timestamp, active: &ActiveQuery) {
+        self.budgets.refund(now, &active.submission.caller, active.policy.price);
     }
 
     fn attach(&mut self, leader: QueryId, submission: &Submission, effects: &mut Vec<Effect>) {
--- a/crates/domain/tests/budgets.rs
+++ b/crates/domain/tests/budgets.rs
@@ -57,8 +57,8 @@
 fn what_is_given_back_can_be_spent_but_not_saved_beyond_the_burst() {
     let mut budgets = budgets(0, 4);
     assert_eq!(budgets.pay(START, &caller(), 4), Ok(()));
-    budgets.give_back(START, &caller(), 4);
-    budgets.give_back(START, &caller(), 4);
+    budgets.refund(START, &caller(), 4);
+    budgets.refund(START, &caller(), 4);
     assert_eq!(budgets.pay(START, &caller(), 4), Ok(()));
     assert!(budgets.pay(START, &caller(), 1).is_err());
 }
