--- a/crates/broker/src/engine.rs
+++ b/crates/broker/src/engine.rs
@@ -17,7 +17,7 @@
     BrokerName, BrokerRun, CallerName, LeafId, LeafRequestId, QueryId, RegionName, ServiceName,
     ZoneName,
 };
-use gingerkeel_domain::query::{LeafFailure, QueryOutcome, Sending, Submission};
+use gingerkeel_domain::query::{LeafFailure, OutgoingRequest, QueryOutcome, Submission};
 use gingerkeel_domain::request_key::RequestKey;
 use gingerkeel_domain::routing::subset::BrokerEntry;
 use gingerkeel_domain::time::Timestamp;
@@ -353,7 +353,7 @@
         }
     }
 
-    fn send(&mut self, sending: Sending, time_left: Duration) {
+    fn send(&mut self, sending: OutgoingRequest, time_left: Duration) {
         self.metrics.leaf_request(sending.kind);
         let context = self.callers.get(&sending.request.query).map(|caller| caller.context.clone());
         let work = context.map(|context| {
--- a/crates/domain/src/dispatch/effect.rs
+++ b/crates/domain/src/dispatch/effect.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::identifiers::{LeafId, LeafRequestId, QueryId};
-use crate::query::{QueryOutcome, Sending};
+use crate::query::{OutgoingRequest, QueryOutcome};
 
 /// Something that the driver of a dispatcher has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// Send a request to a leaf.
     Send {
         /// The request.
-        sending: Sending,
+        sending: OutgoingRequest,
         /// Time until the caller's deadline.
         time_left: Duration,
     },
--- a/crates/domain/src/query/execution.rs
+++ b/crates/domain/src/query/execution.rs
@@ -48,7 +48,7 @@
 
 /// A leaf request to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sending {
+pub struct OutgoingRequest {
     /// Its identifier.
     pub request: LeafRequestId,
     /// Where it goes.
@@ -247,14 +247,14 @@
         shard: ShardId,
         leaf: LeafId,
         kind: AttemptKind,
-    ) -> Option<Sending> {
+    ) -> Option<OutgoingRequest> {
         let number = self.next_attempt;
         let progress = self.progress_mut(shard)?;
         let state = AttemptState::InFlight;
         progress.attempts.push(Attempt { number, leaf, sent: now, state });
         self.next_attempt += 1;
         let request = LeafRequestId { query: self.query, shard, attempt: number };
-        Some(Sending { request, leaf, snapshot: self.snapshot, kind })
+        Some(OutgoingRequest { request, leaf, snapshot: self.snapshot, kind })
     }
 
     /// No replica can be asked for the shard any more.
--- a/crates/domain/src/query/mod.rs
+++ b/crates/domain/src/query/mod.rs
@@ -9,7 +9,7 @@
 use crate::request_key::KeyedRequest;
 use crate::time::Timestamp;
 
-pub use execution::{Attempt, AttemptKind, Execution, InFlightRequest, Progress, Sending};
+pub use execution::{Attempt, AttemptKind, Execution, InFlightRequest, OutgoingRequest, Progress};
 pub use outcome::{Answer, MissingReason, MissingShard, QueryOutcome, ShardPart, UnrecordedReason};
 pub use reply::{LeafFailure, LeafReply, NotRunReason};
 pub use snapshots::SnapshotDirectory;
--- a/crates/domain/tests/budgets.rs
+++ b/crates/domain/tests/budgets.rs
@@ -11,7 +11,7 @@
 use gingerkeel_domain::dispatch::{Effect, Event, SchedulingPolicy};
 use gingerkeel_domain::identifiers::{BrokerName, BrokerRun, CallerName, ClassName};
 use gingerkeel_domain::metering::ChargeCounters;
-use gingerkeel_domain::query::{LeafFailure, NotRunReason, QueryOutcome, Sending};
+use gingerkeel_domain::query::{LeafFailure, NotRunReason, OutgoingRequest, QueryOutcome};
 use gingerkeel_domain::time::Timestamp;
 use rstest::rstest;
 use support::*;
@@ -137,16 +137,16 @@
 }
 
 /// Ends a query in a way that is not an answer.
-type Ending = fn(&mut Harness, Sending);
+type Ending = fn(&mut Harness, OutgoingRequest);
 
 #[rstest]
-#[case::refused_by_leaves(|harness: &mut Harness, first: Sending| {
+#[case::refused_by_leaves(|harness: &mut Harness, first: OutgoingRequest| {
     let again = sends(&harness.refuse(first, NotRunReason::Draining));
     for sending in again {
         harness.refuse(sending, NotRunReason::Draining);
     }
 })]
-#[case::outcome_unknown(|harness: &mut Harness, first: Sending| {
+#[case::outcome_unknown(|harness: &mut Harness, first: OutgoingRequest| {
     let again = sends(&harness.fail(first, LeafFailure::Broken));
     for sending in again {
         let more = sends(&harness.fail(sending, LeafFailure::Broken));
@@ -155,10 +155,10 @@
         }
     }
 })]
-#[case::caller_gone(|harness: &mut Harness, first: Sending| {
+#[case::caller_gone(|harness: &mut Harness, first: OutgoingRequest| {
     harness.handle(Event::CallerGone(first.request.query));
 })]
-#[case::deadline(|harness: &mut Harness, _first: Sending| {
+#[case::deadline(|harness: &mut Harness, _first: OutgoingRequest| {
     harness.wait(millis(2000));
 })]
 fn what_is_not_answered_is_given_back_and_not_charged(#[case] ending: Ending) {
--- a/crates/domain/tests/support/mod.rs
+++ b/crates/domain/tests/support/mod.rs
@@ -18,7 +18,7 @@
     ServiceName, ShardId, Snapshot, ZoneName,
 };
 use gingerkeel_domain::query::{
-    Answer, LeafFailure, LeafReply, NotRunReason, QueryOutcome, Sending, Submission,
+    Answer, LeafFailure, LeafReply, NotRunReason, OutgoingRequest, QueryOutcome, Submission,
 };
 use gingerkeel_domain::request_key::{KeyedRequest, RequestKey};
 use gingerkeel_domain::time::Timestamp;
@@ -217,30 +217,34 @@
         effects
     }
 
-    pub fn complete(&mut self, sending: Sending, completion: LeafCompletion) -> Vec<Effect> {
+    pub fn complete(
+        &mut self,
+        sending: OutgoingRequest,
+        completion: LeafCompletion,
+    ) -> Vec<Effect> {
         self.complete_marked(sending, completion, None)
     }
 
     pub fn complete_marked(
         &mut self,
-        sending: Sending,
+        sending: OutgoingRequest,
         completion: LeafCompletion,
         draining: Option<bool>,
     ) -> Vec<Effect> {
-        let Sending { request, leaf, .. } = sending;
+        let OutgoingRequest { request, leaf, .. } = sending;
         self.handle(Event::LeafCompleted { leaf, request, completion, draining })
     }
 
     /// The leaf answers on the snapshot that it was asked for.
-    pub fn answer(&mut self, sending: Sending) -> Vec<Effect> {
+    pub fn answer(&mut self, sending: OutgoingRequest) -> Vec<Effect> {
         self.complete(sending, result(sending.snapshot))
     }
 
-    pub fn refuse(&mut self, sending: Sending, reason: NotRunReason) -> Vec<Effect> {
+    pub fn refuse(&mut self, sending: OutgoingRequest, reason: NotRunReason) -> Vec<Effect> {
         self.complete(sending, LeafCompletion::Replied(LeafReply::NotRun(reason)))
     }
 
-    pub fn fail(&mut self, sending: Sending, failure: LeafFailure) -> Vec<Effect> {
+    pub fn fail(&mut self, sending: OutgoingRequest, failure: LeafFailure) -> Vec<Effect> {
         self.complete(sending, LeafCompletion::Failed(failure))
     }
 
@@ -255,7 +259,7 @@
         let mut requests = vec![0; leaves];
         for _ in 0..count {
             let start = self.now;
-            let mut pending: Vec<(Timestamp, Sending)> = Vec::new();
+            let mut pending: Vec<(Timestamp, OutgoingRequest)> = Vec::new();
             let mut fresh = sends(&self.submit(true));
             loop {
                 for sending in fresh.drain(..) {
@@ -281,7 +285,7 @@
     LeafCompletion::Replied(LeafReply::Result { snapshot, body: Bytes::from_static(b"hit") })
 }
 
-pub fn sends(effects: &[Effect]) -> Vec<Sending> {
+pub fn sends(effects: &[Effect]) -> Vec<OutgoingRequest> {
     let sent = |effect: &Effect| match effect {
         Effect::Send { sending, .. } => Some(*sending),
         _ => None,
--- a/crates/domain/tests/tail.rs
+++ b/crates/domain/tests/tail.rs
@@ -4,7 +4,9 @@
 
 use gingerkeel_domain::dispatch::{Effect, Event};
 use gingerkeel_domain::identifiers::LeafId;
-use gingerkeel_domain::query::{LeafFailure, MissingReason, NotRunReason, QueryOutcome, Sending};
+use gingerkeel_domain::query::{
+    LeafFailure, MissingReason, NotRunReason, OutgoingRequest, QueryOutcome,
+};
 use gingerkeel_domain::tail::{LatencyWindow, SendBudget, SlidingBudget};
 use gingerkeel_domain::time::Timestamp;
 use proptest::prelude::*;
@@ -231,7 +233,7 @@
 #[test]
 fn the_deadline_cancels_everything_and_says_unknown() {
     let mut harness = measured();
-    let primary: Sending = sends(&harness.submit(false))[0];
+    let primary: OutgoingRequest = sends(&harness.submit(false))[0];
     let effects = harness.wait(millis(1000));
     assert_eq!(cancels(&effects), [primary.leaf]);
     let Some(QueryOutcome::Unknown { known, .. }) = outcome(&effects) else {
--- a/crates/simulation/src/serving/world.rs
+++ b/crates/simulation/src/serving/world.rs
@@ -10,7 +10,7 @@
 use gingerkeel_domain::identifiers::{
     CallerName, ClassName, LeafId, LeafRequestId, QueryId, ServiceName, Snapshot,
 };
-use gingerkeel_domain::query::{QueryOutcome, Sending, Submission};
+use gingerkeel_domain::query::{OutgoingRequest, QueryOutcome, Submission};
 use gingerkeel_domain::time::Timestamp;
 use rand::Rng;
 use rand_pcg::Pcg64;
@@ -303,7 +303,7 @@
     pub(super) fn send(
         &mut self,
         broker: BrokerIndex,
-        sending: Sending,
+        sending: OutgoingRequest,
         request: LeafRequest,
         schedule: &mut Schedule<Event>,
     ) {
