--- a/crates/domain/src/dispatch/active.rs
+++ b/crates/domain/src/dispatch/active.rs
@@ -1,4 +1,4 @@
-//! A query that waits or runs.
+//! State that the dispatcher keeps for a queued or running query.
 
 use crate::admission::{SlotRelease, Ticket};
 use crate::catalog::{AnswerPolicy, ClassPolicy};
@@ -6,21 +6,21 @@
 use crate::query::{Execution, Submission};
 use crate::time::Timestamp;
 
-/// A query that waits or runs.
+/// A query that is queued or running.
 #[derive(Debug)]
 pub(super) struct ActiveQuery {
     pub(super) submission: Submission,
     pub(super) policy: ClassPolicy,
-    /// Priority as admission sees it.
+    /// Priority used for admission; the same for all classes under the baseline policy.
     pub(super) scheduled_priority: u8,
     pub(super) arrived: Timestamp,
-    /// When admission let it start.
+    /// When the query was admitted; `None` while it is queued.
     pub(super) started: Option<Timestamp>,
     pub(super) execution: Option<Execution>,
-    /// When late shards are hedged next.
+    /// When the next hedges for late shards are due.
     pub(super) hedge_at: Option<Timestamp>,
-    /// Resent requests that wait for its outcome.
-    pub(super) followers: Vec<QueryId>,
+    /// Resent requests under the same key that wait for the outcome of this query.
+    pub(super) attached_resends: Vec<QueryId>,
 }
 
 impl ActiveQuery {
@@ -38,7 +38,7 @@
             started: None,
             execution: None,
             hedge_at: None,
-            followers: Vec::new(),
+            attached_resends: Vec::new(),
         }
     }
 
@@ -50,13 +50,13 @@
         }
     }
 
-    /// What admission is told when the query gives its slot back.
+    /// Slot release that is reported to admission when the query ends.
     pub(super) fn finished(&self, now: Timestamp, answered: bool) -> SlotRelease {
         let held = self.started.map(|started| now.since(started)).unwrap_or_default();
         SlotRelease { priority: self.scheduled_priority, held, answered }
     }
 
-    /// When the query is answered, if there is something to answer with.
+    /// Time at which the query is answered with the shards merged by then, if any.
     pub(super) fn answer_by(&self) -> Timestamp {
         match self.policy.answer_policy {
             AnswerPolicy::Full => self.submission.deadline,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Whether a query that runs has waited long enough: at its soft deadline with whatever was
-    /// merged, at its deadline in any case.
+    /// Whether a running query ends now: at its soft deadline if at least one shard was merged, at
+    /// its deadline in any case.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
         if self.submission.deadline <= now {
             return true;
--- a/crates/domain/src/dispatch/effect.rs
+++ b/crates/domain/src/dispatch/effect.rs
@@ -1,37 +1,37 @@
-//! What a dispatcher wants done.
+//! Actions that a dispatcher requests from its driver.
 
 use std::time::Duration;
 
 use crate::identifiers::{LeafId, LeafRequestId, QueryId};
 use crate::query::{OutgoingRequest, QueryOutcome};
 
-/// Something that the driver of a dispatcher has to do.
+/// An action for the driver of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Give the caller its final answer.
+    /// Deliver the final outcome to the caller.
     Answer {
-        /// The query.
+        /// The query that ended.
         query: QueryId,
-        /// What became of it.
+        /// The final outcome.
         outcome: QueryOutcome,
     },
     /// Send a request to a leaf.
     Send {
-        /// The request.
+        /// Identifier, leaf and snapshot of the request.
         sending: OutgoingRequest,
         /// Time until the caller's deadline.
         time_left: Duration,
     },
-    /// Ask a leaf whether it is leaving; no answer is needed when it cannot be reached.
+    /// Ask a leaf whether it is draining; nothing is reported when the leaf cannot be reached.
     Probe {
-        /// The leaf.
+        /// The leaf to probe.
         leaf: LeafId,
     },
-    /// Cancel a request in flight; its reply is not wanted any more.
+    /// Cancel a request in flight; its reply is ignored.
     Cancel {
-        /// The request.
+        /// The request to cancel.
         request: LeafRequestId,
-        /// The leaf that has it.
+        /// The leaf that the request was sent to.
         leaf: LeafId,
     },
 }
--- a/crates/domain/src/dispatch/event.rs
+++ b/crates/domain/src/dispatch/event.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told.
+//! Inputs of a dispatcher.
 
 use std::sync::Arc;
 
@@ -13,52 +13,52 @@
 pub enum LeafCompletion {
     /// With a well-formed reply.
     Replied(LeafReply),
-    /// Without one.
+    /// Without a well-formed reply.
     Failed(LeafFailure),
 }
 
-/// Something that happened to the broker.
+/// An input of the dispatcher.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A caller submitted a query.
     Submitted(Submission),
-    /// The caller of a query hung up.
+    /// The caller of a query disconnected.
     CallerGone(QueryId),
     /// A leaf request ended.
     LeafCompleted {
-        /// The leaf that was asked.
+        /// The leaf that the request was sent to.
         leaf: LeafId,
-        /// The request.
+        /// The request that ended.
         request: LeafRequestId,
         /// How it ended.
         completion: LeafCompletion,
-        /// Whether the leaf said that it is leaving; none when it said nothing.
+        /// Draining mark of the reply; `None` when the reply carried none.
         draining: Option<bool>,
     },
-    /// A leaf answered a probe with its mark.
+    /// A leaf answered a probe.
     ProbeAnswered {
-        /// The leaf.
+        /// The leaf that answered.
         leaf: LeafId,
-        /// Whether it is leaving.
+        /// Whether the leaf is draining.
         draining: bool,
     },
-    /// The time that [`super::Dispatcher::next_timer`] named has come.
+    /// The time given by [`super::Dispatcher::next_timer`] has come.
     TimerElapsed,
-    /// A newer catalog is to be put in force.
+    /// The accepted catalog changed; one with an older revision is ignored.
     CatalogChanged(Arc<Catalog>),
-    /// New queries may start until then, as the freshness lease says; later ones are refused.
+    /// End of the freshness lease; queries that would start at or after it are refused.
     FreshUntil(Timestamp),
-    /// The brokers that share the leaves, all of them; empty while they are not known.
+    /// All brokers that share the leaves; empty while the list is unknown.
     BrokersChanged(Arc<[BrokerEntry]>),
-    /// The platform's list of leaving machines, as leaves, whole.
+    /// Complete list of the leaves whose machines the platform is about to stop.
     PlatformLeaving(Vec<LeafId>),
-    /// The brokers of a service admit no class lower than this one.
+    /// The overload threshold of a service changed; lower classes are shed.
     ThresholdChanged {
-        /// The service.
+        /// The service that the threshold applies to.
         service: ServiceName,
-        /// Priority of the lowest class admitted.
+        /// Greatest priority number that is admitted.
         lowest_admitted: u8,
     },
-    /// A planned stop begins: new queries are refused, those in flight finish.
+    /// A graceful shutdown begins: new queries are refused, running ones finish.
     StopRequested,
 }
--- a/crates/domain/src/dispatch/intake.rs
+++ b/crates/domain/src/dispatch/intake.rs
@@ -1,4 +1,4 @@
-//! The way in and out of a query: request key, budget, admission, and what its outcome costs.
+//! Entry and exit of a query: request key, budget, admission, delivery of the outcome, charge.
 
 use super::{ActiveQuery, DEFAULT_RETRY_AFTER, Dispatcher, Effect};
 use crate::admission::RefusalReason;
@@ -10,10 +10,10 @@
 use crate::request_key::Claim;
 use crate::time::Timestamp;
 
-/// A resent request that waits for the outcome of the query that runs under its key.
+/// A resent request that waits for the outcome of the query running under its key.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Follower {
-    leader: QueryId,
+pub(super) struct AttachedResend {
+    running: QueryId,
     deadline: Timestamp,
 }
 
@@ -26,7 +26,7 @@
     ) {
         match self.claim(now, &submission) {
             Claim::Execute => self.admit(now, submission, effects),
-            Claim::Attach(leader) => self.attach(leader, &submission, effects),
+            Claim::Attach(running) => self.attach(running, &submission, effects),
             Claim::Recorded(outcome) => self.answer(submission.query, outcome, effects),
             Claim::Unrecorded(reason) => {
                 self.answer(submission.query, QueryOutcome::Unrecorded(reason), effects)
@@ -38,15 +38,15 @@
         }
     }
 
-    /// The caller hung up: nothing is answered, and what runs is cancelled unless a request key
-    /// lets the caller ask for the outcome later.
+    /// Handles the disconnect of a caller: nothing is answered, and the query is cancelled unless
+    /// it has a request key, under which the caller may ask for the outcome later.
     pub(super) fn abandon(&mut self, now: Timestamp, query: QueryId, effects: &mut Vec<Effect>) {
         self.detach(query);
         let keyed = |active: &ActiveQuery| active.submission.key.is_some();
         if self.queries.get(&query).is_some_and(keyed) {
             return;
         }
-        let Some(active) = self.forget(query) else {
+        let Some(active) = self.remove_query(query) else {
             return;
         };
         self.refund(now, &active);
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Gives a query that was forgotten its outcome, and those that wait for the same one. The
-    /// caller of a query under a key may have hung up; the driver then drops the outcome.
-    pub(super) fn conclude(
+    /// Delivers the outcome of a query that was removed, also to the resends attached to it. The
+    /// caller of a keyed query may have disconnected; the driver then drops the outcome.
+    pub(super) fn deliver_outcome(
         &mut self,
         now: Timestamp,
         active: &ActiveQuery,
@@ -74,17 +74,17 @@
         if let Some(keyed) = &active.submission.key {
             self.keys.record(now, &keyed.key, &outcome);
         }
-        for follower in &active.followers {
-            if let Some(ended) = self.followers.remove(follower) {
-                self.timers.remove(&(ended.deadline, *follower));
-                self.answer(*follower, outcome.clone(), effects);
+        for resend in &active.attached_resends {
+            if let Some(ended) = self.attached_resends.remove(resend) {
+                self.timers.remove(&(ended.deadline, *resend));
+                self.answer(*resend, outcome.clone(), effects);
             }
         }
         self.answer(active.submission.query, outcome, effects);
     }
 
-    /// A resent request has waited to its own deadline; the query that runs goes on.
-    pub(super) fn follower_timed_out(&mut self, query: QueryId, effects: &mut Vec<Effect>) {
+    /// Ends a resend that reached its own deadline; the running query continues.
+    pub(super) fn resend_timed_out(&mut self, query: QueryId, effects: &mut Vec<Effect>) {
         if self.detach(query) {
             let outcome = QueryOutcome::Unrecorded(UnrecordedReason::StillRunning);
             self.answer(query, outcome, effects);
@@ -119,10 +119,10 @@
             admission.offer(now, ticket, &mut decisions);
         }
         self.queries.insert(query, active);
-        self.carry_out(now, decisions, effects);
+        self.apply_decisions(now, decisions, effects);
     }
 
-    /// Takes the price of the class from the caller's budget, or tells why the query is not run.
+    /// Debits the price of the class from the caller's budget, or gives the refusal.
     fn pay(
         &mut self,
         now: Timestamp,
@@ -151,26 +151,27 @@
         self.budgets.refund(now, &active.submission.caller, active.policy.price);
     }
 
-    fn attach(&mut self, leader: QueryId, submission: &Submission, effects: &mut Vec<Effect>) {
+    fn attach(&mut self, running: QueryId, submission: &Submission, effects: &mut Vec<Effect>) {
         let query = submission.query;
-        let Some(active) = self.queries.get_mut(&leader) else {
+        let Some(active) = self.queries.get_mut(&running) else {
             let outcome = QueryOutcome::Unrecorded(UnrecordedReason::NotKnown);
             self.answer(query, outcome, effects);
             return;
         };
-        active.followers.push(query);
-        self.followers.insert(query, Follower { leader, deadline: submission.deadline });
+        active.attached_resends.push(query);
+        self.attached_resends
+            .insert(query, AttachedResend { running, deadline: submission.deadline });
         self.timers.insert((submission.deadline, query));
     }
 
-    /// Takes a resent request off the query that it waits for; false when it does not wait.
+    /// Detaches a resend from its running query; false when `query` is not an attached resend.
     fn detach(&mut self, query: QueryId) -> bool {
-        let Some(follower) = self.followers.remove(&query) else {
+        let Some(resend) = self.attached_resends.remove(&query) else {
             return false;
         };
-        self.timers.remove(&(follower.deadline, query));
-        if let Some(active) = self.queries.get_mut(&follower.leader) {
-            active.followers.retain(|candidate| *candidate != query);
+        self.timers.remove(&(resend.deadline, query));
+        if let Some(active) = self.queries.get_mut(&resend.running) {
+            active.attached_resends.retain(|candidate| *candidate != query);
         }
         true
     }
@@ -180,7 +181,7 @@
     }
 }
 
-/// A refusal when there is no measured rate to derive the advice from.
+/// A refusal with the default retry delay, for reasons that no drain rate applies to.
 fn refused(reason: RefusalReason) -> QueryOutcome {
     QueryOutcome::NotRun { reason, retry_after: DEFAULT_RETRY_AFTER }
 }
--- a/crates/domain/src/dispatch/mod.rs
+++ b/crates/domain/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: all queries of one broker, from submission to outcome.
+//! The dispatcher: drives all queries of one broker from submission to outcome.
 
 mod active;
 mod effect;
@@ -23,19 +23,19 @@
 use crate::routing::Router;
 use crate::time::Timestamp;
 use active::ActiveQuery;
-use intake::Follower;
+use intake::AttachedResend;
 use scatter::ServiceView;
 
 pub use effect::Effect;
 pub use event::{Event, LeafCompletion};
 pub use settings::{DispatcherSettings, SchedulingPolicy};
 
-/// Priority that all queries have under the baseline policy.
-const COMMON_PRIORITY: u8 = 0;
-/// Advice to callers when there is no measured rate to derive it from.
+/// Priority of all queries under the baseline policy.
+const BASELINE_PRIORITY: u8 = 0;
+/// Retry delay of refusals that are not derived from a drain rate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// All queries of one broker.
+/// State machine for all queries of one broker.
 pub struct Dispatcher {
     catalog: Arc<Catalog>,
     settings: DispatcherSettings,
@@ -43,13 +43,13 @@
     views: BTreeMap<ServiceName, ServiceView>,
     router: Router,
     queries: BTreeMap<QueryId, ActiveQuery>,
-    followers: BTreeMap<QueryId, Follower>,
+    attached_resends: BTreeMap<QueryId, AttachedResend>,
     timers: BTreeSet<(Timestamp, QueryId)>,
     budgets: Budgets,
     charges: ChargeCounters,
     keys: RequestKeys,
     stopping: bool,
-    /// None while no freshness lease is asked for.
+    /// End of the freshness lease; `None` until the first lease is reported, which means no limit.
     fresh_until: Option<Timestamp>,
     random: Box<dyn RngCore + Send>,
 }
@@ -65,7 +65,7 @@
             keys: RequestKeys::new(settings.name.clone(), settings.run, settings.keys),
             settings,
             queries: BTreeMap::new(),
-            followers: BTreeMap::new(),
+            attached_resends: BTreeMap::new(),
             timers: BTreeSet::new(),
             budgets: Budgets::default(),
             charges: ChargeCounters::default(),
@@ -85,12 +85,12 @@
         self.router.connection_limit(leaf)
     }
 
-    /// Queries that wait or run, and resent requests that wait for their outcome.
+    /// Number of queued and running queries and of resends that wait for an outcome.
     pub fn active(&self) -> usize {
-        self.queries.len() + self.followers.len()
+        self.queries.len() + self.attached_resends.len()
     }
 
-    /// Whether the query waits or runs, also when its caller has hung up.
+    /// Whether the query is queued or running, even if its caller has disconnected.
     pub fn is_active(&self, query: QueryId) -> bool {
         self.queries.contains_key(&query)
     }
@@ -98,8 +98,8 @@
     /// Issues a request key to a caller.
     ///
     /// # Errors
-    /// A [`Refusal`] when the broker stops, the caller has no account, or as many keys are known
-    /// as may be.
+    /// A [`Refusal`] when the broker takes no queries (stopping, drained, stale configuration),
+    /// the caller has no account, or the key table is full.
     pub fn issue_key(&mut self, now: Timestamp, caller: CallerName) -> Result<RequestKey, Refusal> {
         let refuse = |reason| Refusal { reason, retry_after: DEFAULT_RETRY_AFTER };
         if let Some(reason) = self.refusal(now) {
@@ -114,29 +114,29 @@
         })
     }
 
-    /// What answered requests cost, as counters of this run.
+    /// Charges for answered requests since this broker run started.
     pub fn charges(&self) -> &ChargeCounters {
         &self.charges
     }
 
-    /// How often a replica was left out so far.
+    /// Number of outlier ejections since the dispatcher was created.
     pub fn ejections(&self) -> u64 {
         self.router.ejections()
     }
 
-    /// Load and refusals of each service, by name.
+    /// Overload report of each service, ordered by name.
     pub fn overload(&self) -> Vec<OverloadReport> {
         let report = |(name, admission): (&ServiceName, &Admission)| admission.report(name.clone());
         self.admissions.iter().map(report).collect()
     }
 
-    /// When [`Event::TimerElapsed`] is due next.
+    /// Time at which the driver has to send the next [`Event::TimerElapsed`].
     pub fn next_timer(&self) -> Option<Timestamp> {
         let query = self.timers.first().map(|(due, _)| *due);
         [query, self.router.next_probe_round()].into_iter().flatten().min()
     }
 
-    /// Handles one event and appends what has to be done to `effects`.
+    /// Handles one event and appends the resulting actions to `effects`.
     pub fn handle(&mut self, now: Timestamp, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Submitted(submission) => self.submit(now, submission, effects),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Why no query at all is taken now, if so.
+    /// Reason for which every new query is refused now, if any.
     fn refusal(&self, now: Timestamp) -> Option<RefusalReason> {
         let wanted = self.catalog.broker_state(&self.settings.name);
         if self.stopping || wanted != MemberState::Active {
@@ -172,27 +172,32 @@
         self.is_stale(now).then_some(RefusalReason::ConfigurationStale)
     }
 
-    /// Whether the configuration in force may not be the accepted one any more.
+    /// Whether the freshness lease has expired, so that the configuration may be outdated.
     fn is_stale(&self, now: Timestamp) -> bool {
         self.fresh_until.is_some_and(|until| until <= now)
     }
 
-    fn carry_out(&mut self, now: Timestamp, decisions: Vec<Decision>, effects: &mut Vec<Effect>) {
+    fn apply_decisions(
+        &mut self,
+        now: Timestamp,
+        decisions: Vec<Decision>,
+        effects: &mut Vec<Effect>,
+    ) {
         for decision in decisions {
             match decision {
                 Decision::Start(query) => self.start(now, query, effects),
                 Decision::Refuse { query, reason, retry_after } => {
-                    let Some(active) = self.forget(query) else {
+                    let Some(active) = self.remove_query(query) else {
                         continue;
                     };
                     let outcome = QueryOutcome::NotRun { reason, retry_after };
-                    self.conclude(now, &active, outcome, effects);
+                    self.deliver_outcome(now, &active, outcome, effects);
                 }
             }
         }
     }
 
-    /// Ends a query that was started: answers it, cancels what is in flight and starts what waits.
+    /// Ends an admitted query: delivers the outcome, then releases its slot.
     fn end(
         &mut self,
         now: Timestamp,
@@ -200,15 +205,15 @@
         outcome: QueryOutcome,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(active) = self.forget(query) else {
+        let Some(active) = self.remove_query(query) else {
             return;
         };
         let answered = matches!(outcome, QueryOutcome::Answered(_));
-        self.conclude(now, &active, outcome, effects);
+        self.deliver_outcome(now, &active, outcome, effects);
         self.release(now, &active, answered, effects);
     }
 
-    /// Gives the slot of a query back: cancels what is in flight and starts what waits.
+    /// Releases the slot of a query: cancels its requests in flight and starts queued queries.
     fn release(
         &mut self,
         now: Timestamp,
@@ -219,13 +224,13 @@
         let service = &active.submission.service;
         if let Some(execution) = &active.execution {
             let late = self.views.get(service).and_then(|view| view.tail.late_after());
-            self.cancel_owed(now, late, &execution.in_flight(), effects);
+            self.cancel_requests(now, late, &execution.in_flight(), effects);
         }
         let mut decisions = Vec::new();
         if let Some(admission) = self.admissions.get_mut(service) {
             admission.finished(now, active.finished(now, answered), &mut decisions);
         }
-        self.carry_out(now, decisions, effects);
+        self.apply_decisions(now, decisions, effects);
     }
 
     fn run_timers(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
@@ -240,7 +245,7 @@
 
     fn time_out(&mut self, now: Timestamp, query: QueryId, effects: &mut Vec<Effect>) {
         let Some(active) = self.queries.get(&query) else {
-            self.follower_timed_out(query, effects);
+            self.resend_timed_out(query, effects);
             return;
         };
         if active.execution.is_some() {
@@ -256,7 +261,7 @@
         if let Some(admission) = self.admissions.get_mut(&active.submission.service) {
             admission.expire(ticket, &mut decisions);
         }
-        self.carry_out(now, decisions, effects);
+        self.apply_decisions(now, decisions, effects);
     }
 
     fn threshold_changed(
@@ -270,7 +275,7 @@
         if let Some(admission) = self.admissions.get_mut(service) {
             admission.set_threshold(lowest_admitted, &mut decisions);
         }
-        self.carry_out(now, decisions, effects);
+        self.apply_decisions(now, decisions, effects);
     }
 
     fn reconfigure(&mut self, now: Timestamp, catalog: Arc<Catalog>, effects: &mut Vec<Effect>) {
@@ -287,7 +292,7 @@
             view.snapshots.publish(published(service));
             let limits = match self.settings.policy {
                 SchedulingPolicy::Standard => class_limits(service),
-                SchedulingPolicy::Baseline => common_limit(service),
+                SchedulingPolicy::Baseline => baseline_limit(service),
             };
             match self.admissions.get_mut(name) {
                 Some(admission) => {
@@ -299,18 +304,18 @@
                 }
             }
         }
-        self.carry_out(now, decisions, effects);
+        self.apply_decisions(now, decisions, effects);
     }
 
-    /// The priority of a class as admission sees it: the baseline knows no classes.
+    /// Priority used for admission; the baseline policy has no classes.
     fn scheduled_priority(&self, priority: u8) -> u8 {
         match self.settings.policy {
             SchedulingPolicy::Standard => priority,
-            SchedulingPolicy::Baseline => COMMON_PRIORITY,
+            SchedulingPolicy::Baseline => BASELINE_PRIORITY,
         }
     }
 
-    fn forget(&mut self, query: QueryId) -> Option<ActiveQuery> {
+    fn remove_query(&mut self, query: QueryId) -> Option<ActiveQuery> {
         let active = self.queries.remove(&query)?;
         self.timers.remove(&(active.submission.deadline, query));
         self.timers.remove(&(active.answer_by(), query));
@@ -329,10 +334,10 @@
         .collect()
 }
 
-/// One queue for all classes, as long as theirs together.
-fn common_limit(service: &Service) -> Vec<ClassLimit> {
+/// One queue for all classes, with the sum of their queue limits.
+fn baseline_limit(service: &Service) -> Vec<ClassLimit> {
     let queue_limit = service.classes().iter().map(|class| class.queue_limit).sum();
-    vec![ClassLimit { priority: COMMON_PRIORITY, queue_limit }]
+    vec![ClassLimit { priority: BASELINE_PRIORITY, queue_limit }]
 }
 
 fn published(service: &Service) -> Vec<(Snapshot, usize)> {
--- a/crates/domain/src/dispatch/scatter.rs
+++ b/crates/domain/src/dispatch/scatter.rs
@@ -1,4 +1,4 @@
-//! The way of one query over its leaves: scatter, retry, hedge, restart, gather.
+//! Execution of one query on the leaves: scatter, retry, hedge, restart, gather.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::tail::{TailControl, TailSettings};
 use crate::time::Timestamp;
 
-/// What one service's leaves were seen to do.
+/// Per-service latency, retry and hedge budgets, and snapshot availability on the leaves.
 #[derive(Debug)]
 pub(super) struct ServiceView {
     pub(super) tail: TailControl,
@@ -28,7 +28,7 @@
 }
 
 impl Dispatcher {
-    /// Starts a query that was admitted.
+    /// Starts an admitted query on the newest usable snapshot.
     pub(super) fn start(&mut self, now: Timestamp, query: QueryId, effects: &mut Vec<Effect>) {
         let Some(active) = self.queries.get_mut(&query) else {
             return;
@@ -40,7 +40,7 @@
         let snapshot =
             self.views.get(&service).and_then(|view| view.snapshots.choose(now, repeatable));
         let target = snapshot.and_then(|snapshot| self.target(&service, snapshot));
-        // A query that waited for long may start after the lease has run out.
+        // The freshness lease may have expired while the query was queued.
         if self.is_stale(now) {
             return self.refuse_started(now, query, RefusalReason::ConfigurationStale, effects);
         }
@@ -53,7 +53,7 @@
         self.scatter(now, query, effects);
     }
 
-    /// Refuses a query that was to start and of which nothing was run.
+    /// Refuses an admitted query of which no request was sent.
     fn refuse_started(
         &mut self,
         now: Timestamp,
@@ -83,10 +83,10 @@
             progress = self.attempt(now, query, route.shard, effects);
         }
         self.arm_hedge(now, query);
-        self.follow(now, query, progress, effects);
+        self.handle_progress(now, query, progress, effects);
     }
 
-    /// Sends one more request for the shard, or gives the shard up.
+    /// Sends one more request for the shard, or gives the shard up when no leaf or budget is left.
     fn attempt(
         &mut self,
         now: Timestamp,
@@ -103,7 +103,7 @@
         else {
             return Progress::Waiting;
         };
-        let kind = execution.next_attempt(shard).filter(|kind| pay(*kind, &mut view.tail));
+        let kind = execution.next_attempt(shard).filter(|kind| take_budget(*kind, &mut view.tail));
         let Some(kind) = kind else {
             return execution.give_up(shard);
         };
@@ -119,7 +119,7 @@
             })
         });
         let Some(sending) = leaf.and_then(|leaf| execution.send(now, shard, leaf, kind)) else {
-            pay_back(kind, &mut view.tail);
+            return_budget(kind, &mut view.tail);
             return execution.give_up(shard);
         };
         if kind == AttemptKind::Primary {
@@ -130,8 +130,8 @@
         Progress::Waiting
     }
 
-    /// A request to a leaf ended. A reply that is late or came already names no attempt in
-    /// flight; of it only the leaf's word on leaving counts.
+    /// Handles the end of a leaf request. A late or duplicate reply matches no attempt in flight;
+    /// only its draining mark is used.
     pub(super) fn leaf_completed(
         &mut self,
         now: Timestamp,
@@ -151,7 +151,7 @@
         let Some(attempt) = attempt else {
             return;
         };
-        self.learn(now, request, attempt, &completion);
+        self.record_completion(now, request, attempt, &completion);
         let Some(execution) = self.execution(request.query) else {
             return;
         };
@@ -160,13 +160,13 @@
             LeafCompletion::Failed(failure) => execution.failed(request, failure),
         };
         if progress == Progress::Waiting {
-            self.cancel_losers(now, request, effects);
+            self.cancel_other_attempts(now, request, effects);
         }
-        self.follow(now, request.query, progress, effects);
+        self.handle_progress(now, request.query, progress, effects);
     }
 
-    /// Takes in what the end of a request says about its leaf, its service and its snapshot.
-    fn learn(
+    /// Updates the statistics of the leaf, the service and the snapshot from a completed request.
+    fn record_completion(
         &mut self,
         now: Timestamp,
         request: LeafRequestId,
@@ -210,19 +210,24 @@
         self.router.ended(now, attempt.leaf, observation);
     }
 
-    /// Once a shard is answered, its other requests are not wanted any more.
-    fn cancel_losers(&mut self, now: Timestamp, request: LeafRequestId, effects: &mut Vec<Effect>) {
+    /// Cancels the remaining requests of a shard once the shard is settled.
+    fn cancel_other_attempts(
+        &mut self,
+        now: Timestamp,
+        request: LeafRequestId,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(execution) = self.execution(request.query) else {
             return;
         };
         if !execution.is_settled(request.shard) {
             return;
         }
-        let owed = execution.withdraw(request.shard);
-        self.cancel(now, request.query, &owed, effects);
+        let in_flight = execution.withdraw(request.shard);
+        self.cancel(now, request.query, &in_flight, effects);
     }
 
-    pub(super) fn follow(
+    pub(super) fn handle_progress(
         &mut self,
         now: Timestamp,
         query: QueryId,
@@ -242,9 +247,9 @@
         }
     }
 
-    /// A replica does not hold the pinned snapshot: start over on a newer one if the query may;
-    /// else ask another replica of the shard; else start over on an older one; else the shard is
-    /// missing.
+    /// Handles a replica that does not hold the pinned snapshot. In this order: restart on a newer
+    /// snapshot if the query may restart; retry on another replica of the shard; restart on an
+    /// older snapshot; report the shard as missing.
     fn snapshot_lost(
         &mut self,
         now: Timestamp,
@@ -268,7 +273,7 @@
         let target = other.filter(|_| may_restart).and_then(|other| self.target(service, other));
         match target {
             Some((snapshot, table)) => self.restart(now, query, snapshot, table, effects),
-            None => self.follow(now, query, Progress::Retry(shard), effects),
+            None => self.handle_progress(now, query, Progress::Retry(shard), effects),
         }
     }
 
@@ -299,13 +304,13 @@
         let Some(execution) = self.execution(query) else {
             return;
         };
-        let owed = execution.in_flight();
+        let in_flight = execution.in_flight();
         execution.restart(snapshot, table);
-        self.cancel(now, query, &owed, effects);
+        self.cancel(now, query, &in_flight, effects);
         self.scatter(now, query, effects);
     }
 
-    /// Sets the moment after which shards without a reply are late.
+    /// Schedules the time after which shards without a reply are hedged.
     fn arm_hedge(&mut self, now: Timestamp, query: QueryId) {
         let Some(active) = self.queries.get_mut(&query) else {
             return;
@@ -323,7 +328,7 @@
         self.timers.insert((due, query));
     }
 
-    /// Hedges every late shard that the budget allows.
+    /// Hedges the late shards as far as the budget allows.
     pub(super) fn hedge(&mut self, now: Timestamp, query: QueryId, effects: &mut Vec<Effect>) {
         let Some(execution) = self.execution(query) else {
             return;
@@ -354,7 +359,7 @@
         else {
             return;
         };
-        if !pay(AttemptKind::Hedge, &mut view.tail) {
+        if !take_budget(AttemptKind::Hedge, &mut view.tail) {
             return;
         }
         let refused = view.snapshots.refusing(now, execution.snapshot());
@@ -366,7 +371,7 @@
         let Some(sending) =
             leaf.and_then(|leaf| execution.send(now, shard, leaf, AttemptKind::Hedge))
         else {
-            pay_back(AttemptKind::Hedge, &mut view.tail);
+            return_budget(AttemptKind::Hedge, &mut view.tail);
             return;
         };
         self.router.sent(sending.leaf);
@@ -390,38 +395,38 @@
         self.end(now, query, outcome, effects);
     }
 
-    /// Cancels requests whose replies are not wanted any more.
+    /// Cancels requests of a query; see [`Self::cancel_requests`].
     pub(super) fn cancel(
         &mut self,
         now: Timestamp,
         query: QueryId,
-        owed: &[InFlightRequest],
+        in_flight: &[InFlightRequest],
         effects: &mut Vec<Effect>,
     ) {
         let service = self.queries.get(&query).map(|active| &active.submission.service);
         let late = service
             .and_then(|service| self.views.get(service))
             .and_then(|view| view.tail.late_after());
-        self.cancel_owed(now, late, owed, effects);
+        self.cancel_requests(now, late, in_flight, effects);
     }
 
-    /// Cancels requests; one that was waited for longer than `late` counts as a failure of its
-    /// leaf, so that a leaf which never answers is left out although others always win.
-    pub(super) fn cancel_owed(
+    /// Cancels requests. A request that was in flight for at least `late` counts as a failure of
+    /// its leaf: a leaf that never answers is ejected even though hedges always complete first.
+    pub(super) fn cancel_requests(
         &mut self,
         now: Timestamp,
         late: Option<Duration>,
-        owed: &[InFlightRequest],
+        in_flight: &[InFlightRequest],
         effects: &mut Vec<Effect>,
     ) {
-        for owed in owed {
-            let waited = now.since(owed.sent);
+        for in_flight in in_flight {
+            let waited = now.since(in_flight.sent);
             let observation = match late {
                 Some(late) if waited >= late => Observation::Failed(waited),
                 _ => Observation::Cancelled(waited),
             };
-            self.router.ended(now, owed.leaf, observation);
-            effects.push(Effect::Cancel { request: owed.request, leaf: owed.leaf });
+            self.router.ended(now, in_flight.leaf, observation);
+            effects.push(Effect::Cancel { request: in_flight.request, leaf: in_flight.leaf });
         }
     }
 
@@ -430,7 +435,7 @@
     }
 }
 
-fn pay(kind: AttemptKind, tail: &mut TailControl) -> bool {
+fn take_budget(kind: AttemptKind, tail: &mut TailControl) -> bool {
     match kind {
         AttemptKind::Primary => true,
         AttemptKind::Retry => tail.take_retry(),
@@ -438,7 +443,7 @@
     }
 }
 
-fn pay_back(kind: AttemptKind, tail: &mut TailControl) {
+fn return_budget(kind: AttemptKind, tail: &mut TailControl) {
     match kind {
         AttemptKind::Primary => {}
         AttemptKind::Retry => tail.give_back_retry(),
--- a/crates/domain/src/dispatch/settings.rs
+++ b/crates/domain/src/dispatch/settings.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told of its own broker.
+//! Settings of a dispatcher.
 
 use crate::catalog::Placement;
 use crate::identifiers::{BrokerName, BrokerRun, RegionName, ZoneName};
@@ -10,32 +10,32 @@
 /// How queries are scheduled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum SchedulingPolicy {
-    /// Classes, measured replica choice, subsets and hedges.
+    /// Priority classes, latency-aware replica choice, subsets and hedges.
     #[default]
     Standard,
-    /// What experiments compare with: a random replica out of all, no hedge, no classes.
+    /// Reference for experiments: a random replica of all, no hedges, no classes.
     Baseline,
 }
 
-/// What a dispatcher is told of its own broker.
+/// Settings of a dispatcher.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatcherSettings {
-    /// Name of the broker.
+    /// Name of this broker.
     pub name: BrokerName,
-    /// Number of its run, part of request keys and of charge reports.
+    /// Number of this broker run, part of request keys and of charge reports.
     pub run: BrokerRun,
-    /// Where it runs.
+    /// Region and zone of this broker.
     pub placement: Placement,
     /// How queries are scheduled.
     pub policy: SchedulingPolicy,
-    /// Extra load that leaves may be given.
+    /// Budgets of hedges and retries.
     pub tail: TailSettings,
-    /// Bounds of the table of request keys.
+    /// Limits of the request key table.
     pub keys: KeyLimits,
 }
 
 impl DispatcherSettings {
-    /// The standard policy for a broker at a place.
+    /// Settings with the standard policy and default limits.
     pub fn new(name: BrokerName, placement: Placement) -> Self {
         Self {
             name,
