--- a/crates/domain/src/admission/drain_rate.rs
+++ b/crates/domain/src/admission/drain_rate.rs
@@ -1,23 +1,24 @@
-//! The measured rate at which queries leave a service.
+//! Rate at which queries release the slots of a service.
 
 use std::time::Duration;
 
-/// Weight of the newest query in the smoothed slot time.
+/// Weight of the newest query in the exponentially smoothed slot time.
 const SMOOTHING: f64 = 0.1;
-/// Slot time that is assumed before any query ended.
+/// Slot time assumed for `retry_after` before the first query ended.
 const INITIAL_SLOT_TIME: Duration = Duration::from_millis(100);
-/// Shortest advice given to a refused caller.
+/// Shortest retry delay given to a refused caller.
 const MINIMUM_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Longest advice given to a refused caller.
+/// Longest retry delay given to a refused caller.
 const MAXIMUM_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Smoothed time for which a query holds one of the service's slots.
+/// Estimates the drain rate from the smoothed time for which a query holds a slot.
 ///
-/// The drain rate is the number of slots over this time. Times between completions are not used:
-/// they grow while the service idles, and a changed number of slots would show late.
+/// The drain rate is the number of slots divided by the slot time. The interval between
+/// completions is not used: it grows while the service is idle and follows a changed number of
+/// slots only slowly.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DrainRate {
-    /// Seconds; none before the first query ended.
+    /// Smoothed slot time in seconds; `None` before the first query ended.
     slot_time: Option<f64>,
 }
 
@@ -29,12 +30,12 @@
         self.slot_time = Some(smoothed);
     }
 
-    /// Time in which `count` queries leave `slots` busy slots; zero before anything was measured.
+    /// Time in which `count` queries drain through `slots` slots; zero before a query ended.
     pub fn time_to_drain(&self, count: usize, slots: u32) -> Duration {
         drain_time(self.slot_time.unwrap_or_default(), count, slots)
     }
 
-    /// Advice to a caller before whom `count` queries have to leave, within the advised bounds.
+    /// Retry delay for a caller that waits for `count` queries to drain, from 50 ms to 30 s.
     pub fn retry_after(&self, count: usize, slots: u32) -> Duration {
         let slot_time = self.slot_time.unwrap_or(INITIAL_SLOT_TIME.as_secs_f64());
         drain_time(slot_time, count, slots).max(MINIMUM_RETRY_AFTER)
--- a/crates/domain/src/admission/mod.rs
+++ b/crates/domain/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission of queries to one service on one broker: strict priority over bounded queues.
+//! Admission control for one service on one broker: bounded queues with strict priority.
 
 mod drain_rate;
 mod overload;
@@ -17,10 +17,10 @@
 pub use run_time::FastestRun;
 pub use ticket::{ClassLimit, Decision, Refusal, RefusalReason, SlotRelease, Ticket};
 
-/// Shortest advice to a caller whose class is shut out: the threshold changes no faster.
+/// Shortest retry delay for a class below the threshold, which changes no faster.
 const THRESHOLD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Admits queries of one service.
+/// Admits, queues or refuses the queries of one service.
 #[derive(Debug)]
 pub struct Admission {
     concurrency: u32,
@@ -31,7 +31,7 @@
 }
 
 impl Admission {
-    /// An admission that runs `concurrency` queries at a time.
+    /// Admission control with `concurrency` slots and one queue for each of `limits`.
     pub fn new(concurrency: u32, limits: impl IntoIterator<Item = ClassLimit>) -> Self {
         let mut queues = ClassQueues::default();
         queues.reconfigure(limits);
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Takes over changed limits; what waits in a class that remains keeps waiting, what waits in
-    /// one that is no more is refused.
+    /// Applies changed limits. Queries queued in a class that was removed are refused; all others
+    /// stay queued.
     pub fn reconfigure(
         &mut self,
         now: Timestamp,
@@ -60,7 +60,8 @@
         self.start_waiting(now, decisions);
     }
 
-    /// Shuts out classes lower than `lowest_admitted`; those of them that wait are refused now.
+    /// Sheds classes whose priority number exceeds `lowest_admitted`; their queued queries are
+    /// refused at once.
     pub fn set_threshold(&mut self, lowest_admitted: u8, decisions: &mut Vec<Decision>) {
         self.lowest_admitted = lowest_admitted;
         for ticket in self.queues.drain_below(lowest_admitted) {
@@ -68,17 +69,17 @@
         }
     }
 
-    /// Queries that run now.
+    /// Number of running queries.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Queries that wait now, over all classes.
+    /// Number of queued queries, over all classes.
     pub fn waiting(&self) -> usize {
         self.queues.waiting()
     }
 
-    /// Load and refusals as measured.
+    /// Current load and cumulative refusals, for the control tier.
     pub fn report(&self, service: ServiceName) -> OverloadReport {
         let pressure = |queue: &queue::ClassQueue| ClassPressure {
             priority: queue.limit.priority,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Offers a query; it starts, waits or is refused at once. An evicted query is refused too.
+    /// Starts, queues or refuses a query. A queued query that is evicted for it is refused too.
     pub fn offer(&mut self, now: Timestamp, ticket: Ticket, decisions: &mut Vec<Decision>) {
         let Some(queue) = self.queues.get_mut(ticket.priority) else {
             decisions.push(self.refusal(ticket, RefusalReason::NotServed));
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A running query ended; starts what may start now.
+    /// Releases the slot of a query that ended and starts queued queries.
     pub fn finished(&mut self, now: Timestamp, ended: SlotRelease, decisions: &mut Vec<Decision>) {
         self.running = self.running.saturating_sub(1);
         self.drain_rate.record(ended.held);
@@ -125,8 +126,8 @@
         self.start_waiting(now, decisions);
     }
 
-    /// Starts waiting queries while there is room, highest class first, and refuses those that
-    /// cannot finish any more.
+    /// Starts queued queries while slots are free, highest class first, and refuses those that can
+    /// no longer finish before their deadline.
     pub fn start_waiting(&mut self, now: Timestamp, decisions: &mut Vec<Decision>) {
         while self.running < self.concurrency {
             let Some(ticket) = self.queues.pop_first() else {
@@ -140,20 +141,20 @@
         }
     }
 
-    /// Refuses a query that waits although its deadline has come.
+    /// Refuses a query that is still queued at its deadline.
     pub fn expire(&mut self, ticket: Ticket, decisions: &mut Vec<Decision>) {
         if self.queues.withdraw(ticket.query) {
             self.refuse(ticket, RefusalReason::DeadlineTooClose, decisions);
         }
     }
 
-    /// Takes a waiting query out; false when it does not wait here.
+    /// Removes a queued query; false when it is not queued.
     pub fn withdraw(&mut self, query: QueryId) -> bool {
         self.queues.withdraw(query)
     }
 
-    /// When a refused query of this priority may hope to be admitted: the time in which what
-    /// waits before it drains at the measured rate.
+    /// Retry delay for a refused query of this priority: the time in which the queries queued ahead
+    /// of it drain.
     pub fn retry_after(&self, priority: u8) -> Duration {
         let ahead = self.queues.waiting_before(priority);
         self.drain_rate.retry_after(ahead + 1, self.concurrency)
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Whether the query would miss its deadline even if it ran as fast as the fastest of its
-    /// class once what waits before it has drained.
+    /// Whether the query would miss its deadline even with the shortest recent run time of its
+    /// class, after the queries queued ahead of it have drained.
     fn cannot_finish(&self, now: Timestamp, ticket: Ticket) -> bool {
         let ahead = self.queues.waiting_before(ticket.priority);
         let wait = if self.has_free_slot() {
--- a/crates/domain/src/admission/overload.rs
+++ b/crates/domain/src/admission/overload.rs
@@ -1,42 +1,42 @@
-//! Overload of one broker as measured, for the control tier to fold over all brokers.
+//! Overload report of one broker; the control tier aggregates the reports of all brokers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identifiers::ServiceName;
 
-/// Lowest class admitted when nothing is shut out.
+/// Threshold that admits every class.
 pub const ADMIT_ALL: u8 = u8::MAX;
 
-/// What one class was offered and refused since the broker started; both only grow.
+/// Queries of one class: offered and refused since the broker started, and queued now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassPressure {
     /// Priority of the class.
     pub priority: u8,
-    /// Queries that asked to be admitted.
+    /// Queries offered for admission; a counter that never decreases.
     pub offered: u64,
-    /// Queries that were refused for want of capacity.
+    /// Queries refused by admission or evicted; a counter that never decreases.
     pub refused: u64,
-    /// Queries that wait now.
+    /// Queries queued now.
     pub waiting: u32,
 }
 
-/// Load and refusals of one service at one broker.
+/// Load and refusals of one service on one broker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OverloadReport {
-    /// The service.
+    /// Service that the report is about.
     pub service: ServiceName,
-    /// Queries that run now.
+    /// Queries running now.
     pub running: u32,
-    /// Queries that may run at the same time.
+    /// Number of slots: queries that may run at the same time.
     pub concurrency: u32,
-    /// Lowest class that this broker admits now.
+    /// Greatest priority number that this broker admits.
     pub lowest_admitted: u8,
-    /// Its classes, highest first.
+    /// Classes of the service, highest priority first.
     pub classes: Vec<ClassPressure>,
 }
 
 impl OverloadReport {
-    /// Whether every slot is busy and more queries wait.
+    /// Whether every slot is busy and at least one query is queued.
     pub fn is_saturated(&self) -> bool {
         self.running >= self.concurrency && self.classes.iter().any(|class| class.waiting > 0)
     }
--- a/crates/domain/src/admission/queue.rs
+++ b/crates/domain/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queues of a service's classes.
+//! Queues of the classes of a service.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 use super::ticket::{ClassLimit, Ticket};
 use crate::identifiers::QueryId;
 
-/// The queue of one class and what was measured of it.
+/// Queue, counters and shortest run time of one class.
 #[derive(Debug)]
 pub(super) struct ClassQueue {
     pub(super) limit: ClassLimit,
@@ -32,14 +32,14 @@
     }
 }
 
-/// The queues of all classes, highest class first.
+/// Queues of all classes, highest priority first.
 #[derive(Debug, Default)]
 pub(super) struct ClassQueues {
     queues: Vec<ClassQueue>,
 }
 
 impl ClassQueues {
-    /// Takes over changed limits; gives the tickets of classes that are no more.
+    /// Applies changed limits and returns the queued tickets of removed classes.
     pub(super) fn reconfigure(
         &mut self,
         limits: impl IntoIterator<Item = ClassLimit>,
@@ -68,30 +68,30 @@
         self.queues.iter_mut().find(|queue| queue.limit.priority == priority)
     }
 
-    /// Tickets that wait, over all classes.
+    /// Number of queued tickets, over all classes.
     pub(super) fn waiting(&self) -> usize {
         self.queues.iter().map(|queue| queue.waiting.len()).sum()
     }
 
-    /// Tickets that are served before a new one of this priority.
+    /// Number of tickets that are served before a new ticket of this priority.
     pub(super) fn waiting_before(&self, priority: u8) -> usize {
         let before = self.queues.iter().filter(|queue| queue.limit.priority <= priority);
         before.map(|queue| queue.waiting.len()).sum()
     }
 
-    /// Whether as many wait altogether as the longest queue may hold.
+    /// Whether the queues together hold as many tickets as the greatest queue limit of a class.
     pub(super) fn are_full(&self) -> bool {
         let longest = self.queues.iter().map(|queue| queue.limit.queue_limit).max();
         self.waiting() >= longest.unwrap_or_default() as usize
     }
 
-    /// The next ticket to be served.
+    /// Removes the next ticket to be served: the oldest of the highest class.
     pub(super) fn pop_first(&mut self) -> Option<Ticket> {
         self.queues.iter_mut().find_map(|queue| queue.waiting.pop_front())
     }
 
-    /// Takes out the youngest ticket of the lowest class that waits, if it is lower than
-    /// `priority`.
+    /// Removes the newest ticket of the lowest class with queued tickets, if that class is lower
+    /// than `priority`.
     pub(super) fn evict_below(&mut self, priority: u8) -> Option<Ticket> {
         let lowest = self.queues.iter_mut().rev().find(|queue| !queue.waiting.is_empty())?;
         if lowest.limit.priority <= priority {
@@ -100,13 +100,13 @@
         lowest.waiting.pop_back()
     }
 
-    /// Takes out all tickets of classes lower than `lowest`.
+    /// Removes all tickets of classes lower than `lowest`.
     pub(super) fn drain_below(&mut self, lowest: u8) -> Vec<Ticket> {
         let below = self.queues.iter_mut().filter(|queue| queue.limit.priority > lowest);
         below.flat_map(|queue| std::mem::take(&mut queue.waiting)).collect()
     }
 
-    /// Takes a ticket out; false when it does not wait here.
+    /// Removes the ticket of a query; false when the query is not queued.
     pub(super) fn withdraw(&mut self, query: QueryId) -> bool {
         for queue in &mut self.queues {
             let before = queue.waiting.len();
--- a/crates/domain/src/admission/run_time.rs
+++ b/crates/domain/src/admission/run_time.rs
@@ -1,16 +1,16 @@
-//! The measured run time of a class: what a query needs at least.
+//! Lower bound of the run time of the queries of a class.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Length of one half of the window.
+/// Length of one half of the sliding window.
 const HALF_WINDOW: Duration = Duration::from_secs(1);
 
-/// The shortest run of the last one to two seconds.
+/// Shortest run time within a sliding window of one to two seconds.
 ///
-/// Only a query that would miss its deadline even if it ran as fast as this one is refused. The
-/// window forgets, so that a class whose queries are all refused is tried again.
+/// Admission refuses a query that would miss its deadline even with this run time. Samples expire,
+/// so that a class whose queries are all refused is tried again.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FastestRun {
     current: Option<Duration>,
@@ -19,13 +19,13 @@
 }
 
 impl FastestRun {
-    /// Records the run of an answered query.
+    /// Records the run time of an answered query.
     pub fn record(&mut self, now: Timestamp, run_time: Duration) {
         self.rotate(now);
         self.current = Some(self.current.map_or(run_time, |fastest| fastest.min(run_time)));
     }
 
-    /// The shortest run in the window; zero when there was none.
+    /// Shortest run time in the window; zero without samples.
     pub fn get(&self, now: Timestamp) -> Duration {
         let age = now.since(self.rotated);
         let current = self.current.filter(|_| age < 2 * HALF_WINDOW);
--- a/crates/domain/src/admission/ticket.rs
+++ b/crates/domain/src/admission/ticket.rs
@@ -1,91 +1,91 @@
-//! What admission is asked and what it decides.
+//! Requests to admission and its decisions.
 
 use std::time::Duration;
 
 use crate::identifiers::QueryId;
 use crate::time::Timestamp;
 
-/// A query that asks to be admitted.
+/// A query offered for admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket {
-    /// The query.
+    /// Number of the query.
     pub query: QueryId,
-    /// Priority of its class; 0 is served first.
+    /// Priority of the class; 0 is served first.
     pub priority: u8,
-    /// Moment after which an answer is of no use.
+    /// Time at which the query is refused if it has not started.
     pub deadline: Timestamp,
 }
 
 /// Why a query was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// The queue of its class is full, or all queues together are and no lower class waits.
+    /// The queue of the class is full, or the shared limit is reached and no lower class is queued.
     QueueFull,
-    /// A query of a higher class took its place in the queue.
+    /// The query was evicted from the queue by a query of a higher class.
     Evicted,
-    /// It could not have finished before its deadline.
+    /// The query could not have finished before its deadline.
     DeadlineTooClose,
-    /// The service's brokers are overloaded and admit higher classes only.
+    /// The class is below the overload threshold of the service.
     Overloaded,
-    /// The broker is stopping.
+    /// The broker is stopping or drained.
     Stopping,
-    /// The caller's budget is spent.
+    /// The caller's budget does not cover the price.
     BudgetSpent,
     /// The caller has no account.
     UnknownCaller,
     /// The service or class is not defined, or the service has no published snapshot.
     NotServed,
-    /// Every leaf asked for it said that it did not run it.
+    /// No leaf ran any request of the query.
     LeavesRefused,
-    /// The broker cannot tell whether its configuration is still the accepted one.
+    /// The freshness lease has expired, so the configuration may be outdated.
     ConfigurationStale,
-    /// Its request key belongs to another request.
+    /// The request key was used by a request with other content.
     KeyTaken,
-    /// As many request keys are known as may be.
+    /// The request key table is full.
     KeysExhausted,
 }
 
-/// Why something was not run, and when asking again is worth while.
+/// A refusal with its retry delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Cause of the refusal.
     pub reason: RefusalReason,
-    /// When asking again is worth while.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// What becomes of a ticket.
+/// Decision of admission on one query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// The query starts now.
     Start(QueryId),
-    /// The query is given up before anything of it was run.
+    /// The query is refused before any request of it was sent.
     Refuse {
-        /// The query.
+        /// The refused query.
         query: QueryId,
-        /// Why.
+        /// Cause of the refusal.
         reason: RefusalReason,
-        /// When asking again is worth while.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// Queue length and priority of a class.
+/// Queue limit and priority of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassLimit {
     /// Priority of the class.
     pub priority: u8,
-    /// Queries of it that may wait.
+    /// Greatest number of queued queries of the class.
     pub queue_limit: u32,
 }
 
-/// A query that ends and gives its slot back.
+/// Release of the slot of a query that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotRelease {
-    /// Priority of its class.
+    /// Priority of the class that the query was admitted with.
     pub priority: u8,
-    /// Time for which it held the slot.
+    /// Time for which the query held the slot.
     pub held: Duration,
-    /// Whether it was answered; only then does it tell how fast its class runs.
+    /// Whether the query was answered; only then does `held` count as a run time of its class.
     pub answered: bool,
 }
