--- a/crates/domain/src/tail/budget.rs
+++ b/crates/domain/src/tail/budget.rs
@@ -1,6 +1,6 @@
-//! A token bucket that earns with each primary send.
+//! Token bucket that is refilled by primary sends.
 
-/// Extra sends in proportion to primary sends.
+/// Token bucket that limits extra sends to a share of the primary sends plus a burst.
 #[derive(Debug, Clone, Copy)]
 pub struct SendBudget {
     share: f64,
@@ -9,17 +9,18 @@
 }
 
 impl SendBudget {
-    /// A bucket of `start` tokens, and `burst` at most, that earns `share` of a token per primary send.
+    /// A bucket with `start` tokens and a capacity of `burst`, which gains `share` of a token with
+    /// each primary send.
     pub fn new(share: f64, burst: f64, start: f64) -> Self {
         Self { share, burst, tokens: start }
     }
 
-    /// A primary request was sent.
+    /// Adds `share` of a token for one primary send.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.share).min(self.burst);
     }
 
-    /// Takes one token; false when there is none.
+    /// Takes one token; false when less than one is left.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -28,7 +29,7 @@
         true
     }
 
-    /// Puts a token back that was not used.
+    /// Returns a token that was taken but not used.
     pub fn give_back(&mut self) {
         self.tokens = (self.tokens + 1.0).min(self.burst);
     }
--- a/crates/domain/src/tail/latency.rs
+++ b/crates/domain/src/tail/latency.rs
@@ -1,20 +1,21 @@
-//! A streaming estimate of latency quantiles over a sliding window.
+//! Streaming latency quantiles over a sliding window.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Sub-buckets per power of two: quantiles are exact to one part in sixteen.
+/// Sub-buckets per power of two, which bounds the relative error of a quantile by 1/16.
 const SUB_BUCKETS: usize = 16;
-/// Powers of two covered: up to 2^26 microseconds, 67 seconds.
+/// Groups of sub-buckets: the first covers 0 to 15 microseconds, each further one a power of two,
+/// up to 2^30 microseconds (18 minutes). Longer latencies fall into the last bucket.
 const POWERS: usize = 27;
 const BUCKETS: usize = POWERS * SUB_BUCKETS;
-/// Length of one half of the window.
+/// Length of one half of the sliding window.
 const HALF_WINDOW: Duration = Duration::from_secs(5);
-/// Observations needed before a quantile is given.
+/// Samples needed before a quantile is given.
 const MINIMUM_OBSERVATIONS: u64 = 100;
 
-/// Latencies of the last five to ten seconds in logarithmic buckets.
+/// Histogram of the latencies of the last five to ten seconds, in logarithmic buckets.
 #[derive(Debug)]
 pub struct LatencyWindow {
     current: Histogram,
@@ -45,14 +46,14 @@
 }
 
 impl LatencyWindow {
-    /// Records one latency.
+    /// Adds one sample to the current half of the window.
     pub fn record(&mut self, now: Timestamp, latency: Duration) {
         self.rotate(now);
         self.current.counts[bucket(latency)] += 1;
         self.current.total += 1;
     }
 
-    /// Upper bound of the bucket that holds the quantile; none while too little was recorded.
+    /// Upper bound of the bucket that holds `quantile` (0 to 1); `None` below 100 samples.
     pub fn quantile(&self, quantile: f64) -> Option<Duration> {
         let total = self.current.total + self.former.total;
         if total < MINIMUM_OBSERVATIONS {
--- a/crates/domain/src/tail/shedding.rs
+++ b/crates/domain/src/tail/shedding.rs
@@ -1,28 +1,28 @@
-//! Whether the leaves of a service shed load.
+//! Detection of load shedding by the leaves of a service.
 
-/// Weight of the newest reply.
+/// Weight of the newest reply in the exponentially smoothed share.
 const SMOOTHING: f64 = 0.02;
-/// Share of refusals above which the leaves count as shedding.
+/// Share of shed requests above which hedges and retries stop.
 const SHEDDING_SHARE: f64 = 0.1;
 
-/// Smoothed share of replies that refuse for want of capacity.
+/// Exponentially smoothed share of shed requests among the answered and shed ones.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SheddingDetector {
     share: f64,
 }
 
 impl SheddingDetector {
-    /// A leaf ran a request.
+    /// Records a request that a leaf ran.
     pub fn answered(&mut self) {
         self.share -= SMOOTHING * self.share;
     }
 
-    /// A leaf refused one for want of capacity.
+    /// Records a request that a leaf shed.
     pub fn shed(&mut self) {
         self.share += SMOOTHING * (1.0 - self.share);
     }
 
-    /// Whether extra sends would fall on leaves that are short of capacity already.
+    /// Whether the leaves are overloaded, so that no hedges and retries may be sent.
     pub fn is_shedding(&self) -> bool {
         self.share > SHEDDING_SHARE
     }
