--- a/crates/domain/src/query/execution.rs
+++ b/crates/domain/src/query/execution.rs
@@ -1,4 +1,4 @@
-//! Scatter and gather of one query over the shards of one snapshot.
+//! Scatter-gather state of one query over the shards of one snapshot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::routing::{ShardRoute, ShardTable};
 use crate::time::Timestamp;
 
-/// Attempts at one shard of one snapshot whose request may have reached a leaf.
+/// Greatest number of attempts per shard and snapshot whose request may have reached a leaf.
 const MAXIMUM_ATTEMPTS: usize = 3;
-/// Attempts at one shard of one snapshot that failed before a byte was written.
+/// Greatest number of attempts per shard and snapshot that fail before a byte is written.
 const MAXIMUM_UNSENT: usize = 8;
-/// Times that one query starts over on another snapshot.
+/// Greatest number of restarts of one query on another snapshot.
 const MAXIMUM_RESTARTS: u8 = 2;
 
 /// One request to one leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
-    /// Number of the attempt over the whole query.
+    /// Number of the attempt within the query, over all shards and restarts.
     pub number: u16,
-    /// The leaf.
+    /// Leaf that the request was sent to.
     pub leaf: LeafId,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Timestamp,
     state: AttemptState,
 }
@@ -49,48 +49,48 @@
 /// A leaf request to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutgoingRequest {
-    /// Its identifier.
+    /// Identifier of the request.
     pub request: LeafRequestId,
-    /// Where it goes.
+    /// Destination of the request.
     pub leaf: LeafId,
-    /// The snapshot it reads.
+    /// Snapshot that the leaf has to read.
     pub snapshot: Snapshot,
-    /// Why it is sent.
+    /// Cause of the attempt, which decides the budget that it draws on.
     pub kind: AttemptKind,
 }
 
 /// A leaf request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightRequest {
-    /// Its identifier.
+    /// Identifier of the request.
     pub request: LeafRequestId,
-    /// The leaf that has it.
+    /// Leaf that the request was sent to.
     pub leaf: LeafId,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Timestamp,
 }
 
-/// What the dispatcher has to do after an event.
+/// Next step of the dispatcher after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// Wait on.
+    /// No action is needed until the next event.
     Waiting,
-    /// The shard needs another attempt, if a replica and the budget allow.
+    /// The shard needs another attempt, if a replica is left and the budget allows.
     Retry(ShardId),
-    /// The whole query needs another snapshot.
+    /// A leaf does not hold the snapshot: the query restarts on another or the shard is retried.
     SnapshotLost(ShardId),
-    /// Nothing is owed any more.
+    /// Every shard is settled, so the query can end.
     Complete,
 }
 
-/// Why a request is sent to a leaf.
+/// Cause of a leaf request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The first, or one after attempts of which no byte was written: no extra load.
+    /// First attempt, or one after attempts of which no byte was written; adds no extra load.
     Primary,
-    /// One more after a failure.
+    /// Another attempt after a failure.
     Retry,
-    /// One more beside one that is late.
+    /// Another attempt while the first one is late.
     Hedge,
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// State of a query that runs.
+/// State of a running query.
 #[derive(Debug)]
 pub struct Execution {
     query: QueryId,
@@ -142,7 +142,7 @@
 }
 
 impl Execution {
-    /// Starts a query on a snapshot; nothing is sent yet. `table` is that of the snapshot's epoch.
+    /// Starts a query on a snapshot without sending. `table` belongs to the epoch of the snapshot.
     pub fn new(
         query: QueryId,
         snapshot: Snapshot,
@@ -166,39 +166,39 @@
         }
     }
 
-    /// The pinned snapshot.
+    /// Snapshot that the query is pinned to.
     pub fn snapshot(&self) -> Snapshot {
         self.snapshot
     }
 
-    /// The routes of the query's shards.
+    /// Routes of all shards of the query.
     pub fn table(&self) -> &Arc<ShardTable> {
         &self.table
     }
 
-    /// The route of a shard.
+    /// Route of a shard; `None` when the table does not contain the shard.
     pub fn route(&self, shard: ShardId) -> Option<&ShardRoute> {
         Some(&self.table.shards[self.index(shard)?])
     }
 
-    /// Whether any shard's reply was merged.
+    /// Whether the reply of at least one shard was merged.
     pub fn has_parts(&self) -> bool {
         self.merged > 0
     }
 
-    /// Whether the shard's reply was merged or the shard was given up.
+    /// Whether the reply of the shard was merged or the shard was given up.
     pub fn is_settled(&self, shard: ShardId) -> bool {
         self.progress_of(shard).is_some_and(ShardProgress::settled)
     }
 
-    /// Leaves that were asked for the shard.
+    /// Leaves that a request for the shard was sent to, on the current snapshot.
     pub fn tried(&self, shard: ShardId) -> SmallVec<[LeafId; 4]> {
         self.progress_of(shard)
             .map(|progress| progress.attempts.iter().map(|attempt| attempt.leaf).collect())
             .unwrap_or_default()
     }
 
-    /// Leaves of the shard that it makes no sense to ask again: they refused, or have it still.
+    /// Leaves that a retry of the shard must not go to: they refused or have a request in flight.
     pub fn excluded_from_retry(&self, shard: ShardId) -> SmallVec<[LeafId; 4]> {
         let excluded_from_retry = |attempt: &&Attempt| {
             matches!(attempt.state, AttemptState::NotRun | AttemptState::InFlight)
@@ -210,9 +210,9 @@
             .unwrap_or_default()
     }
 
-    /// What another attempt at the shard would be; none when no further one is allowed. A query
-    /// that is not repeatable is written to one replica once: another attempt is allowed only
-    /// when no byte of the earlier ones was written.
+    /// Kind of the next attempt at the shard; `None` when no further attempt is allowed. A query
+    /// that is not repeatable is written to one replica only once: another attempt is allowed only
+    /// if no byte of the earlier ones was written.
     pub fn next_attempt(&self, shard: ShardId) -> Option<AttemptKind> {
         let progress = self.progress_of(shard)?;
         if progress.settled() {
@@ -226,7 +226,7 @@
         (self.repeatable && written < MAXIMUM_ATTEMPTS).then_some(AttemptKind::Retry)
     }
 
-    /// Shards whose only written attempt is in flight still, when hedging them is allowed.
+    /// Shards whose only written attempt is still in flight; empty if the query is not repeatable.
     pub fn late_shards(&self) -> SmallVec<[ShardId; 8]> {
         if !self.repeatable {
             return SmallVec::new();
@@ -240,7 +240,7 @@
         shards.filter(|(_, progress)| late(progress)).map(|(route, _)| route.shard).collect()
     }
 
-    /// Records that the shard is asked of `leaf` now.
+    /// Records an attempt at the shard on `leaf`; `None` when the table does not contain the shard.
     pub fn send(
         &mut self,
         now: Timestamp,
@@ -257,7 +257,7 @@
         Some(OutgoingRequest { request, leaf, snapshot: self.snapshot, kind })
     }
 
-    /// No replica can be asked for the shard any more.
+    /// Gives the shard up unless it is settled or has a request in flight.
     pub fn give_up(&mut self, shard: ShardId) -> Progress {
         if let Some(progress) = self.progress_mut(shard)
             && !progress.settled()
@@ -269,7 +269,7 @@
         self.progress()
     }
 
-    /// The attempt that a request identifier names, while it is in flight.
+    /// Attempt with the given request identifier, if it is in flight.
     pub fn attempt_in_flight(&self, request: LeafRequestId) -> Option<Attempt> {
         let progress = self.progress_of(request.shard)?;
         progress
@@ -281,29 +281,29 @@
             .copied()
     }
 
-    /// All requests in flight.
+    /// All requests of the query that are in flight.
     pub fn in_flight(&self) -> Vec<InFlightRequest> {
-        let mut owed = Vec::new();
+        let mut in_flight = Vec::new();
         for (route, progress) in self.table.shards.iter().zip(&self.shards) {
-            owed.extend(self.owed_by(route.shard, progress));
+            in_flight.extend(self.in_flight_of(route.shard, progress));
         }
-        owed
+        in_flight
     }
 
-    /// Takes the requests of a shard that are in flight back; their replies are not wanted.
+    /// Ends the attempts of a shard that are in flight and returns them, to be cancelled.
     pub fn withdraw(&mut self, shard: ShardId) -> SmallVec<[InFlightRequest; 2]> {
         let Some(index) = self.index(shard) else {
             return SmallVec::new();
         };
-        let owed: SmallVec<[InFlightRequest; 2]> =
-            self.owed_by(shard, &self.shards[index]).collect();
-        for request in &owed {
+        let in_flight: SmallVec<[InFlightRequest; 2]> =
+            self.in_flight_of(shard, &self.shards[index]).collect();
+        for request in &in_flight {
             self.shards[index].end_attempt(request.request.attempt, AttemptState::MayHaveRun);
         }
-        owed
+        in_flight
     }
 
-    /// A leaf replied. A reply of another snapshot is never merged.
+    /// Handles a well-formed reply. A reply of another snapshot is never merged.
     pub fn replied(&mut self, request: LeafRequestId, reply: LeafReply) -> Progress {
         if self.attempt_in_flight(request).is_none() {
             return self.progress();
@@ -323,7 +323,7 @@
         }
     }
 
-    /// A request failed without a well-formed reply.
+    /// Handles the failure of a request without a well-formed reply.
     pub fn failed(&mut self, request: LeafRequestId, failure: LeafFailure) -> Progress {
         if self.attempt_in_flight(request).is_none() {
             return self.progress();
@@ -336,8 +336,8 @@
         }
     }
 
-    /// Starts over on another snapshot within the same query. Attempts are numbered on, so that
-    /// late replies to the former ones name no attempt any more.
+    /// Restarts the query on another snapshot. Attempt numbers continue, so that late replies to
+    /// earlier attempts match none.
     pub fn restart(&mut self, snapshot: Snapshot, table: Arc<ShardTable>) {
         let ran = self.may_have_run();
         let next_attempt = self.next_attempt;
@@ -348,13 +348,13 @@
         self.may_have_run_before = ran;
     }
 
-    /// Whether the query may start over: only a bounded number of times, and only when running
-    /// a leaf request twice is allowed.
+    /// Whether the query may restart: only if a leaf request may run twice, and only a bounded
+    /// number of times.
     pub fn may_restart(&self) -> bool {
         self.repeatable && self.restarts < MAXIMUM_RESTARTS
     }
 
-    /// Ends the query with what there is now.
+    /// Outcome of the query with the shards merged so far.
     pub fn finish(&self, price: u64, retry_after: Duration) -> QueryOutcome {
         let answer = self.answer(price);
         let unknown = answer.missing.iter().any(|shard| shard.reason == MissingReason::Unknown);
@@ -362,7 +362,7 @@
             return QueryOutcome::NotRun { reason: RefusalReason::LeavesRefused, retry_after };
         }
         if answer.parts.is_empty() || (unknown && !self.repeatable) {
-            // Only an answer is charged.
+            // Only an answered query is charged.
             return QueryOutcome::Unknown { known: Answer { price: 0, ..answer }, retry_after };
         }
         QueryOutcome::Answered(answer)
@@ -381,7 +381,8 @@
         Answer { snapshot: self.snapshot, parts, missing, price }
     }
 
-    /// After a restart a shard may have run on the former snapshot, whatever came of it since.
+    /// After a restart, a shard may have run on the earlier snapshot, whatever its later attempts
+    /// say.
     fn missing_reason(&self, progress: &ShardProgress) -> MissingReason {
         if self.may_have_run_before { MissingReason::Unknown } else { progress.missing_reason() }
     }
@@ -421,7 +422,7 @@
         if self.unsettled == 0 { Progress::Complete } else { Progress::Waiting }
     }
 
-    fn owed_by<'progress>(
+    fn in_flight_of<'progress>(
         &self,
         shard: ShardId,
         progress: &'progress ShardProgress,
--- a/crates/domain/src/query/mod.rs
+++ b/crates/domain/src/query/mod.rs
@@ -1,4 +1,4 @@
-//! One query: what a caller submits, how its scatter and gather goes on, and what comes of it.
+//! Queries: submission, scatter-gather execution and outcome.
 
 mod execution;
 mod outcome;
@@ -17,18 +17,18 @@
 /// A query as a caller submits it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Submission {
-    /// Number given by the broker.
+    /// Number assigned by the broker.
     pub query: QueryId,
-    /// Service that is asked.
+    /// Service that the query is addressed to.
     pub service: ServiceName,
-    /// Class that the caller pays for.
+    /// Class that decides priority, price and answer policy.
     pub class: ClassName,
-    /// Who asks.
+    /// Account that is charged.
     pub caller: CallerName,
-    /// Moment after which an answer is of no use.
+    /// Time at which the query ends in any case.
     pub deadline: Timestamp,
-    /// Whether a leaf may be asked more than once.
+    /// Whether leaf requests of the query may run more than once.
     pub repeatable: bool,
-    /// Under which the outcome is recorded, so that the request can be sent again.
+    /// Request key under which the outcome is recorded, so that a resend runs nothing twice.
     pub key: Option<KeyedRequest>,
 }
--- a/crates/domain/src/query/outcome.rs
+++ b/crates/domain/src/query/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Outcome of a query as reported to the caller.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::admission::RefusalReason;
 use crate::identifiers::{ShardId, Snapshot};
 
-/// Why a shard is not part of an answer.
+/// Cause for which a shard is missing from an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissingReason {
     /// No leaf ran the request.
@@ -19,41 +19,41 @@
 /// A shard that is not part of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MissingShard {
-    /// The shard.
+    /// Number of the shard.
     pub shard: ShardId,
-    /// Why it is missing.
+    /// Whether a leaf may have run the request.
     pub reason: MissingReason,
 }
 
-/// The reply of one shard.
+/// Merged reply of one shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardPart {
-    /// The shard.
+    /// Number of the shard.
     pub shard: ShardId,
-    /// Its reply body.
+    /// Body of the reply.
     pub body: Bytes,
 }
 
-/// An answer: every part is of the same snapshot.
+/// Answer to a query; all parts are read from the same snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The snapshot that every part was read from.
+    /// Snapshot that all parts were read from.
     pub snapshot: Snapshot,
-    /// Merged replies, by shard.
+    /// Merged replies, ordered by shard.
     pub parts: Vec<ShardPart>,
-    /// Shards that are not part of the answer, by shard.
+    /// Shards without a merged reply, ordered by shard.
     pub missing: Vec<MissingShard>,
-    /// Charge for the answer.
+    /// Charge in price units; 0 when the outcome is unknown.
     pub price: u64,
 }
 
 impl Answer {
-    /// Shards of the snapshot's partition map.
+    /// Number of shards in the partition map of the snapshot.
     pub fn shard_count(&self) -> usize {
         self.parts.len() + self.missing.len()
     }
 
-    /// Share of the shards that are part of the answer, from 0 to 1.
+    /// Share of the shards that the answer covers, from 0 to 1.
     pub fn coverage(&self) -> f64 {
         if self.shard_count() == 0 {
             return 0.0;
@@ -62,37 +62,37 @@
     }
 }
 
-/// What becomes of a query; given once and at once.
+/// Final outcome of a query, reported exactly once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QueryOutcome {
     /// At least one shard replied and, if the query is not repeatable, no shard's outcome is
     /// unknown.
     Answered(Answer),
-    /// Nothing of the query was run.
+    /// No leaf ran any part of the query.
     NotRun {
-        /// Why.
+        /// Cause of the refusal.
         reason: RefusalReason,
-        /// When asking again is worth while.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
-    /// A leaf may have run the query, but there is no answer that tells.
+    /// A leaf may have run the query, but no complete result is known.
     Unknown {
-        /// What is known: merged parts and missing shards.
+        /// Merged parts and missing shards.
         known: Answer,
-        /// When asking again is worth while.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
-    /// The request may have run under its key, but this broker has no record that tells.
+    /// The request may have run under its key, but this broker has no record of the outcome.
     Unrecorded(UnrecordedReason),
 }
 
-/// Why nothing is known of what became of a request under its key.
+/// Cause for which the outcome of a keyed request is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnrecordedReason {
     /// The key was issued by another broker or an earlier run of this one.
     OtherRun,
     /// The key was not issued, was issued to another caller, or has expired with its record.
     NotKnown,
-    /// The first request under the key runs on after the deadline of this one.
+    /// The first request under the key is still running at the deadline of this one.
     StillRunning,
 }
--- a/crates/domain/src/query/reply.rs
+++ b/crates/domain/src/query/reply.rs
@@ -1,4 +1,4 @@
-//! What comes back from a leaf.
+//! Replies and failures of leaf requests.
 
 use bytes::Bytes;
 
@@ -7,11 +7,11 @@
 /// Why a leaf did not run a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// It sheds load.
+    /// The leaf sheds load.
     Shedding,
-    /// It is leaving.
+    /// The leaf is draining.
     Draining,
-    /// It does not hold the asked snapshot.
+    /// The leaf does not hold the requested snapshot.
     SnapshotUnavailable,
     /// The deadline had passed.
     DeadlinePassed,
@@ -24,22 +24,22 @@
 pub enum LeafReply {
     /// The leaf ran the request.
     Result {
-        /// Snapshot that was read.
+        /// Snapshot that the leaf read.
         snapshot: Snapshot,
-        /// Result of the shard.
+        /// Result for the shard.
         body: Bytes,
     },
     /// The leaf did not run the request.
     NotRun(NotRunReason),
 }
 
-/// Why there is no well-formed reply.
+/// Cause for which a request ended without a well-formed reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeafFailure {
     /// No byte of the request was written, so it was not run.
     NotSent,
-    /// The connection broke, or the reply was cut short, malformed or of another request.
+    /// The connection broke, or the reply was truncated, malformed or for another request.
     Broken,
-    /// The leaf ran into an error of its own.
+    /// The leaf reported an internal error.
     LeafError,
 }
