--- a/crates/domain/src/request_key/key.rs
+++ b/crates/domain/src/request_key/key.rs
@@ -1,4 +1,4 @@
-//! The key itself and its text.
+//! Request key and its text form.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,24 +8,25 @@
 use crate::identifiers::{BrokerName, BrokerRun};
 
 quick_error! {
-    /// A text that is not a request key.
+    /// Error of parsing a request key.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum KeyError {
-        /// The text does not have the three parts of a key.
+        /// The text is not of the form `BROKER.RUN.SEQUENCE`.
         Malformed {
             display("not a request key: use one that POST /v1/request-keys gave, unchanged")
         }
     }
 }
 
-/// Names one request of one broker run; its text is `BROKER.RUN.SEQUENCE`, the run in hexadecimal.
+/// Identifies one request to one broker run. The text form is `BROKER.RUN.SEQUENCE`, with the run
+/// in hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// The broker that issued it.
+    /// Broker that issued the key.
     pub broker: BrokerName,
-    /// The run of the broker; no other run executes the request.
+    /// Broker run that issued the key; no other run executes the request.
     pub run: BrokerRun,
-    /// Number within the run, from 0.
+    /// Number of the key within the run, from 0.
     pub sequence: u64,
 }
 
@@ -54,11 +55,11 @@
     }
 }
 
-/// A request under a key.
+/// Request key together with the content of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRequest {
-    /// The key.
+    /// Key that the caller sent with the request.
     pub key: RequestKey,
-    /// Digest of what is asked; another request under the same key is not run.
+    /// Digest of the request; a request with another digest under the same key is refused.
     pub digest: u64,
 }
--- a/crates/domain/src/request_key/mod.rs
+++ b/crates/domain/src/request_key/mod.rs
@@ -1,9 +1,9 @@
-//! Request keys: a request that must not run twice is run by one broker run, under one key.
+//! Request keys: at-most-once execution of requests that callers may resend.
 //!
-//! The key names the broker run that issued it, and only that run executes the request, so no two
-//! processes ever need to agree on whether it ran. A resend waits for the run that goes on, or
-//! gets its recorded outcome. A key of which there is no record (another run, expired) gets
-//! "outcome unknown": the request may have run.
+//! A key names the broker run that issued it, and only that run executes the request, so no two
+//! processes have to agree on whether the request ran. A resend waits for the query that is
+//! running under the key or gets the recorded outcome. For a key without a record (issued by
+//! another run, or expired) the outcome is unknown: the request may have run.
 
 mod key;
 mod table;
--- a/crates/domain/src/request_key/table.rs
+++ b/crates/domain/src/request_key/table.rs
@@ -1,4 +1,4 @@
-//! The keys that one broker run has issued and what became of their requests.
+//! Table of the request keys of one broker run, with the outcomes of their requests.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use crate::query::{QueryOutcome, UnrecordedReason};
 use crate::time::Timestamp;
 
-/// Bounds of a table.
+/// Limits of a request key table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyLimits {
-    /// Keys that are known at the same time.
+    /// Greatest number of keys in the table.
     pub keys: usize,
-    /// Bytes of recorded answers; the oldest are forgotten beyond.
+    /// Greatest total size of recorded answers in bytes; beyond it the oldest are evicted.
     pub recorded_bytes: usize,
-    /// Time after issue, or after the outcome, until a key expires.
+    /// Time from issue, or from the outcome, until a key expires.
     pub lifetime: Duration,
 }
 
@@ -25,25 +25,25 @@
     }
 }
 
-/// No key can be issued until one expires.
+/// The table is full: no key can be issued until one expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeysExhausted {
     /// Time until the next key expires.
     pub retry_after: Duration,
 }
 
-/// What a request under a key is to do.
+/// How a request under a key is handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// It is the first: it runs.
+    /// The request is the first under the key and runs.
     Execute,
-    /// It waits for the outcome of this query.
+    /// The request waits for the outcome of this running query.
     Attach(QueryId),
-    /// This is its outcome.
+    /// The request has ended with this outcome.
     Recorded(QueryOutcome),
-    /// Nothing tells whether it ran.
+    /// There is no record of whether the request ran.
     Unrecorded(UnrecordedReason),
-    /// The key belongs to another request; this one does not run.
+    /// The key was used by a request with another digest; this request is refused.
     UsedByOtherRequest,
 }
 
@@ -61,14 +61,14 @@
     state: KeyState,
 }
 
-/// An end of life that was set once; a later one may have replaced it.
+/// A scheduled expiry of a key; a later one may have superseded it.
 #[derive(Debug, Clone, Copy)]
 struct Expiry {
     due: Timestamp,
     sequence: u64,
 }
 
-/// The keys of one broker run.
+/// Request key table of one broker run.
 #[derive(Debug)]
 pub struct RequestKeys {
     broker: BrokerName,
@@ -76,7 +76,7 @@
     limits: KeyLimits,
     next_sequence: u64,
     entries: BTreeMap<u64, Entry>,
-    /// In order of time, because all lifetimes are the same.
+    /// Ordered by time, because all keys have the same lifetime.
     expiries: VecDeque<Expiry>,
     /// Sequence numbers of the keys whose outcome is recorded.
     recorded: BTreeSet<u64>,
@@ -84,7 +84,7 @@
 }
 
 impl RequestKeys {
-    /// A table without keys for a broker run.
+    /// An empty table for a broker run.
     pub fn new(broker: BrokerName, run: BrokerRun, limits: KeyLimits) -> Self {
         Self {
             broker,
@@ -101,7 +101,7 @@
     /// Issues a key to a caller.
     ///
     /// # Errors
-    /// [`KeysExhausted`] when as many keys are known as may be.
+    /// [`KeysExhausted`] when the table is full.
     pub fn issue(
         &mut self,
         now: Timestamp,
@@ -119,7 +119,7 @@
         Ok(RequestKey { broker: self.broker.clone(), run: self.run, sequence })
     }
 
-    /// A request comes under a key; if it is to execute, it does so as `query`.
+    /// Decides on a request under a key. If the request runs, it runs as `query`.
     pub fn claim(
         &mut self,
         now: Timestamp,
@@ -151,7 +151,8 @@
         }
     }
 
-    /// The query that ran under a key has ended. One that was not run may be sent again.
+    /// Records the outcome of the query that ran under a key. After `NotRun` the key can be used
+    /// again.
     pub fn record(&mut self, now: Timestamp, key: &RequestKey, outcome: &QueryOutcome) {
         let Some(KeyState::Running { digest, .. }) =
             self.entries.get(&key.sequence).map(|entry| &entry.state)
@@ -171,15 +172,15 @@
             entry.state = state;
             entry.expires = expires;
         }
-        self.forget_excess();
+        self.evict_excess();
     }
 
-    /// Keys that are known.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is known.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -190,7 +191,7 @@
         due
     }
 
-    /// Drops what has expired; a query that runs keeps its key.
+    /// Removes expired keys, except those whose query is still running.
     fn expire(&mut self, now: Timestamp) {
         while let Some(expiry) = self.expiries.front().copied().filter(|expiry| expiry.due <= now) {
             self.expiries.pop_front();
@@ -199,22 +200,22 @@
                 entry.expires <= now && !matches!(entry.state, KeyState::Running { .. })
             });
             if ended {
-                self.forget(expiry.sequence);
+                self.remove(expiry.sequence);
             }
         }
     }
 
-    /// Forgets the oldest recorded outcomes beyond the bound; their keys are not known any more.
-    fn forget_excess(&mut self) {
+    /// Evicts keys with recorded outcomes, oldest key first, until the outcomes fit the limit.
+    fn evict_excess(&mut self) {
         while self.recorded_bytes > self.limits.recorded_bytes {
             let Some(oldest) = self.recorded.first().copied() else {
                 return;
             };
-            self.forget(oldest);
+            self.remove(oldest);
         }
     }
 
-    fn forget(&mut self, sequence: u64) {
+    fn remove(&mut self, sequence: u64) {
         if let Some(Entry { state: KeyState::Recorded { outcome, .. }, .. }) =
             self.entries.remove(&sequence)
         {
