--- a/crates/domain/src/budget/bucket.rs
+++ b/crates/domain/src/budget/bucket.rs
@@ -1,16 +1,16 @@
-//! A token bucket in whole millionths of a unit, so that nothing is lost in rounding.
+//! Token bucket in whole millionths of a price unit, which avoids rounding losses.
 
 use std::time::Duration;
 
 use crate::catalog::CallerAccount;
 use crate::time::Timestamp;
 
-/// Millionths in one unit; one unit per second is one millionth per microsecond.
+/// Millionths per price unit. One unit per second is one millionth per microsecond.
 const MILLIONTHS: u128 = 1_000_000;
-/// Longest advice to a caller whose budget is spent.
+/// Longest retry delay given to a caller whose budget is spent.
 const MAXIMUM_WAIT: Duration = Duration::from_secs(60);
 
-/// What one caller may spend.
+/// Remaining budget of one caller.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TokenBucket {
     rate: u128,
@@ -33,7 +33,7 @@
         self.level = self.level.min(self.capacity);
     }
 
-    /// Takes `price`, or tells after which time the bucket will hold it.
+    /// Takes `price`, or gives the time after which the bucket will hold that much.
     pub(super) fn take(&mut self, now: Timestamp, price: u64) -> Result<(), Duration> {
         self.refill(now);
         let wanted = u128::from(price) * MILLIONTHS;
--- a/crates/domain/src/budget/mod.rs
+++ b/crates/domain/src/budget/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets of callers: one token bucket for each account, in the unit of prices.
+//! Budgets of callers: one token bucket per account, in price units.
 
 mod bucket;
 
@@ -10,23 +10,24 @@
 use crate::time::Timestamp;
 use bucket::TokenBucket;
 
-/// Why a price was not paid.
+/// Error of a payment from a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetError {
     /// The caller has no account.
     UnknownCaller,
-    /// The budget is spent until this time has passed.
+    /// The budget does not cover the price; it will after this time.
     BudgetSpent(Duration),
 }
 
-/// The budgets of all callers at one broker.
+/// Budgets of all callers on one broker.
 #[derive(Debug, Default)]
 pub struct Budgets {
     buckets: BTreeMap<CallerName, TokenBucket>,
 }
 
 impl Budgets {
-    /// Takes over changed accounts; a new bucket is full, one that remains keeps what it holds.
+    /// Applies changed accounts. A new account starts with its full burst; an existing one keeps
+    /// its level, up to the new burst.
     pub fn reconfigure(&mut self, now: Timestamp, accounts: &BTreeMap<CallerName, CallerAccount>) {
         self.buckets.retain(|caller, _| accounts.contains_key(caller));
         for (caller, account) in accounts {
@@ -39,10 +40,10 @@
         }
     }
 
-    /// Pays `price` for a query that is about to be admitted.
+    /// Debits `price` for a query before its admission.
     ///
     /// # Errors
-    /// [`BudgetError`] when the caller has no account or too little in it; nothing is taken then.
+    /// [`BudgetError`] when the caller has no account or the budget is too low; nothing is debited.
     pub fn pay(
         &mut self,
         now: Timestamp,
@@ -53,7 +54,7 @@
         bucket.take(now, price).map_err(BudgetError::BudgetSpent)
     }
 
-    /// Gives `price` back for a query that was not answered.
+    /// Credits `price` for a query that was not answered.
     pub fn refund(&mut self, now: Timestamp, caller: &CallerName, price: u64) {
         if let Some(bucket) = self.buckets.get_mut(caller) {
             bucket.refund(now, price);
--- a/crates/domain/src/hash.rs
+++ b/crates/domain/src/hash.rs
@@ -1,7 +1,7 @@
-//! A hash on which processes agree.
+//! Hash function with the same results in every process and release.
 
-/// FNV-1a with a finalizer: stable over releases, since processes of different releases
-/// have to agree on what it decides.
+/// FNV-1a with the MurmurHash3 finalizer. The result must not change between releases: processes of
+/// different releases have to make the same decisions from it.
 pub(crate) fn hash(bytes: &[u8], salt: u64) -> u64 {
     let mut state = 0xcbf2_9ce4_8422_2325_u64 ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for byte in bytes {
--- a/crates/domain/src/identifiers.rs
+++ b/crates/domain/src/identifiers.rs
@@ -1,10 +1,11 @@
-//! Names and numbers that identify things in the catalog and in flight.
+//! Names and numbers that identify catalog entries, processes, queries and requests.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
+/// Defines a newtype for a name.
 macro_rules! name_type {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
@@ -12,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps `text` without checking it.
+            /// Creates a name from `text` without validation.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
@@ -31,7 +32,7 @@
     };
 }
 
-/// A number that is a type of its own.
+/// Defines a newtype for a number.
 macro_rules! number_type {
     ($(#[$meta:meta])* $name:ident($inner:ty)) => {
         $(#[$meta])*
@@ -73,7 +74,7 @@
     CallerName
 );
 name_type!(
-    /// Name of a tenant: callers who share keys, a priority and a quota.
+    /// Name of a tenant: a group of callers that share keys, a priority and a quota.
     TenantName
 );
 name_type!(
@@ -81,33 +82,33 @@
     BrokerName
 );
 name_type!(
-    /// Name of a control process, unique in the cluster and never used again.
+    /// Name of a control process, unique in the cluster and never reused.
     ControlName
 );
 name_type!(
-    /// Name of an operator's session, unique to one run of a command line.
+    /// Name of an operator session, unique to one run of the command-line tool.
     SessionName
 );
 name_type!(
-    /// Identity of one run of a leaf, never used again by another one: the name that the leaf goes by, and when it
-    /// started where it tells that. A leaf that starts again under its name has another identity.
+    /// Identity of one run of a leaf, never reused: the name of the leaf and, where the leaf
+    /// reports it, the start time. A leaf that restarts under its name has another identity.
     LeafIdentity
 );
 name_type!(
-    /// Name of a failure zone.
+    /// Name of a failure zone within a region.
     ZoneName
 );
 name_type!(
-    /// Name of a region, which holds zones.
+    /// Name of a region, which consists of zones.
     RegionName
 );
 name_type!(
-    /// Version of the software that a leaf runs, as the list of leaves tells it.
+    /// Software version of a leaf, as given in the list of leaves.
     SoftwareVersion
 );
 
 impl Default for SoftwareVersion {
-    /// The list does not tell.
+    /// Empty: the list of leaves gives no version.
     fn default() -> Self {
         Self::new("")
     }
@@ -122,15 +123,15 @@
     ShardId(u32)
 );
 number_type!(
-    /// Version of a service's index.
+    /// Version of the index of a service.
     IndexVersion(u64)
 );
 number_type!(
-    /// Epoch of a service's partition map; grows by one with each repartitioning.
+    /// Epoch of the partition map of a service; incremented by each repartitioning.
     PartitionEpoch(u64)
 );
 number_type!(
-    /// Revision of the whole catalog; grows by one with each accepted change.
+    /// Revision of the catalog; incremented by each accepted change.
     Revision(u64)
 );
 number_type!(
@@ -138,18 +139,18 @@
     QueryId(u64)
 );
 number_type!(
-    /// Number of one run of a broker process, drawn at random when it starts.
+    /// Number of one run of a broker process, drawn at random at the start.
     BrokerRun(u64)
 );
 
-/// The state of an index that one answer is computed from.
+/// State of an index that an answer is computed from.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Snapshot {
-    /// Epoch of the partition map that names the shards.
+    /// Epoch of the partition map that defines the shards.
     pub epoch: PartitionEpoch,
-    /// Version of the index that every shard reads.
+    /// Version of the index that is read on every shard.
     pub version: IndexVersion,
 }
 
@@ -159,14 +160,14 @@
     }
 }
 
-/// Identifies one request to one leaf within one broker run.
+/// Identifies one request to a leaf within one broker run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeafRequestId {
     /// The query that the request belongs to.
     pub query: QueryId,
-    /// The shard that is asked.
+    /// Shard that the request reads.
     pub shard: ShardId,
-    /// Number of the attempt over all restarts of the query, from 0.
+    /// Number of the attempt within the query, over all restarts, from 0.
     pub attempt: u16,
 }
 
--- a/crates/domain/src/lib.rs
+++ b/crates/domain/src/lib.rs
@@ -1,8 +1,8 @@
-//! Pure aggregates of the gingerkeel query tier.
+//! Domain model of the gingerkeel query tier, without I/O.
 //!
-//! Nothing here reads a clock, a socket, a file or a random source: an aggregate takes the
-//! current [`time::Timestamp`] and an event, changes its own state and returns typed effects.
-//! The programs and the simulation drive these very types.
+//! The crate reads no clock, socket, file or entropy source: an aggregate takes the current
+//! [`time::Timestamp`] and an event, updates its state and returns typed effects. The programs
+//! and the simulation drive the same types.
 
 pub mod admission;
 pub mod budget;
