--- a/crates/domain/tests/admission.rs
+++ b/crates/domain/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: priorities, queues, eviction, deadlines, advice to refused callers, the threshold.
+//! Admission: priorities, queues, eviction, deadlines, retry delays, the overload threshold.
 
 mod support;
 
@@ -18,7 +18,7 @@
 
 const START: Timestamp = Timestamp::from_micros(10_000_000);
 
-/// Three classes; the queues hold two queries each and two together.
+/// Three classes with a queue limit of two each, which is also the limit of all queues together.
 fn admission(concurrency: u32) -> Admission {
     let limit = |priority| ClassLimit { priority, queue_limit: 2 };
     Admission::new(concurrency, (0..3).map(limit))
@@ -61,7 +61,7 @@
     decisions.iter().filter_map(refused).collect()
 }
 
-fn advice(decisions: &[Decision]) -> Duration {
+fn refusal_delay(decisions: &[Decision]) -> Duration {
     match decisions {
         [Decision::Refuse { retry_after, .. }] => *retry_after,
         other => panic!("not one refusal: {other:?}"),
@@ -83,18 +83,18 @@
     assert_eq!(order, [3, 5, 2, 4, 1]);
 }
 
-/// What waits, who comes, and who is refused why.
+/// Priorities of the queued queries, priority of the offered one, expected refusals.
 #[rstest]
 #[case::room_left(&[1], 1, &[])]
 #[case::highest_evicts_the_lowest(&[1, 2], 0, &[(2, RefusalReason::Evicted)])]
-#[case::the_youngest_goes(&[2, 2], 1, &[(2, RefusalReason::Evicted)])]
-#[case::the_lowest_goes_though_older(&[2, 1], 0, &[(1, RefusalReason::Evicted)])]
+#[case::the_newest_is_evicted(&[2, 2], 1, &[(2, RefusalReason::Evicted)])]
+#[case::the_lowest_is_evicted_though_older(&[2, 1], 0, &[(1, RefusalReason::Evicted)])]
 #[case::equals_do_not_evict(&[0, 1], 1, &[(9, RefusalReason::QueueFull)])]
 #[case::lower_does_not_evict(&[0, 1], 2, &[(9, RefusalReason::QueueFull)])]
 #[case::own_queue_full(&[1, 1], 1, &[(9, RefusalReason::QueueFull)])]
-fn a_full_queue_gives_way_to_higher_classes_only(
+fn a_full_queue_evicts_for_higher_classes_only(
     #[case] waiting: &[u8],
-    #[case] comes: u8,
+    #[case] offered: u8,
     #[case] expected: &[(u64, RefusalReason)],
 ) {
     let mut admission = admission(1);
@@ -102,7 +102,7 @@
     for (index, priority) in waiting.iter().enumerate() {
         assert_eq!(offer(&mut admission, ticket(index as u64 + 1, *priority)), []);
     }
-    assert_eq!(refused(&offer(&mut admission, ticket(9, comes))), expected);
+    assert_eq!(refused(&offer(&mut admission, ticket(9, offered))), expected);
 }
 
 #[test]
@@ -116,7 +116,8 @@
     assert_eq!(refused(&offer(&mut admission, ticket(3, 0))), [(3, RefusalReason::QueueFull)]);
 }
 
-/// Time left, fastest run of the class, slot time of what waits before it, and whether it may wait.
+/// Time left, shortest run time of the class and slot time of the queries ahead, all in ms;
+/// whether the query may wait.
 #[rstest]
 #[case::enough(500, 50, 100, true)]
 #[case::run_does_not_fit(40, 50, 1, false)]
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn the_fastest_run_is_forgotten_so_that_a_refused_class_is_tried_again() {
+fn the_shortest_run_time_expires_so_that_a_refused_class_is_tried_again() {
     let mut fastest = FastestRun::default();
     fastest.record(START, millis(50));
     fastest.record(START, millis(20));
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn advice_follows_the_slot_time_the_slots_and_what_waits() {
+fn retry_after_follows_slot_time_slots_and_queue_length() {
     let mut rate = DrainRate::default();
     for _ in 0..100 {
         rate.record(millis(200));
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn advice_is_the_same_after_an_idle_hour() {
+fn retry_after_does_not_change_over_an_idle_hour() {
     let mut admission = admission(1);
     for hour in 0..3u64 {
         let now = START.after(Duration::from_secs(3600 * hour));
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn advice_counts_only_what_is_served_before() {
+fn retry_after_counts_only_queries_served_before() {
     let limit = |priority| ClassLimit { priority, queue_limit: 9 };
     let mut admission = Admission::new(1, (0..3).map(limit));
     offer(&mut admission, ticket(0, 0));
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn a_threshold_shuts_lower_classes_out_and_answers_those_that_wait_at_once() {
+fn a_threshold_refuses_lower_classes_and_their_queued_queries() {
     let mut admission = admission(1);
     offer(&mut admission, ticket(0, 0));
     offer(&mut admission, ticket(1, 1));
@@ -232,7 +233,7 @@
     assert_eq!(refused(&decisions), [(2, RefusalReason::Overloaded)]);
     let decisions = offer(&mut admission, ticket(3, 2));
     assert_eq!(refused(&decisions), [(3, RefusalReason::Overloaded)]);
-    assert!(advice(&decisions) >= Duration::from_secs(1));
+    assert!(refusal_delay(&decisions) >= Duration::from_secs(1));
     assert_eq!(offer(&mut admission, ticket(4, 1)), []);
     let mut decisions = Vec::new();
     admission.set_threshold(ADMIT_ALL, &mut decisions);
@@ -240,7 +241,7 @@
 }
 
 #[test]
-fn a_class_that_is_no_more_gives_its_waiting_queries_back() {
+fn queued_queries_of_a_removed_class_are_refused() {
     let mut admission = admission(1);
     offer(&mut admission, ticket(0, 0));
     offer(&mut admission, ticket(1, 1));
@@ -268,8 +269,8 @@
     assert!(!admission.report(service()).is_saturated());
 }
 
-/// A dispatcher that runs so many queries at a time.
-fn narrow(concurrency: u32) -> Harness {
+/// A dispatcher with the given number of slots.
+fn with_concurrency(concurrency: u32) -> Harness {
     let mut harness = Harness::new(&[&[0, 1]]);
     harness.reconfigure(|catalog| {
         change(catalog, Change::DefineService { service: service(), concurrency });
@@ -286,7 +287,7 @@
 
 #[test]
 fn a_waiting_query_is_refused_at_its_deadline_though_nothing_finishes() {
-    let mut harness = narrow(1);
+    let mut harness = with_concurrency(1);
     let running = harness.submission(true);
     let deadline = running.deadline.after(millis(10_000));
     let effects = harness.handle(Event::Submitted(Submission { deadline, ..running }));
@@ -294,12 +295,12 @@
     assert_eq!(harness.submit(true), []);
     assert_eq!(harness.wait(millis(999)), []);
     assert_eq!(reason(&harness.wait(millis(1))), Some(RefusalReason::DeadlineTooClose));
-    assert_eq!(harness.dispatcher.active(), 1, "the running one goes on");
+    assert_eq!(harness.dispatcher.active(), 1, "the running query goes on");
 }
 
 #[test]
 fn a_threshold_reaches_the_queue_of_its_service() {
-    let mut harness = narrow(1);
+    let mut harness = with_concurrency(1);
     harness.submit(true);
     assert_eq!(outcome(&harness.submit(true)), None);
     let event = Event::ThresholdChanged { service: service(), lowest_admitted: 0 };
--- a/crates/domain/tests/budgets.rs
+++ b/crates/domain/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets and charges: the class's price is paid, once for each answered request.
+//! Budgets and charges: an answered request is charged once, with the price of its class.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use support::*;
 
 const START: Timestamp = Timestamp::from_micros(5_000_000);
-/// Price of the class of the test catalog.
+/// Price of the class in the test catalog.
 const PRICE: u64 = 3;
 
 fn budgets(budget_per_second: u64, burst: u64) -> Budgets {
@@ -39,7 +39,7 @@
     assert_eq!(budgets.pay(START.after(millis(500)), &caller(), 5), Ok(()));
     let long_after = START.after(Duration::from_secs(3600));
     assert_eq!(budgets.pay(long_after, &caller(), 20), Ok(()));
-    assert!(budgets.pay(long_after, &caller(), 1).is_err(), "no more than the burst is saved up");
+    assert!(budgets.pay(long_after, &caller(), 1).is_err(), "the level is capped at the burst");
 }
 
 #[test]
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_given_back_can_be_spent_but_not_saved_beyond_the_burst() {
+fn a_refund_can_be_spent_but_does_not_exceed_the_burst() {
     let mut budgets = budgets(0, 4);
     assert_eq!(budgets.pay(START, &caller(), 4), Ok(()));
     budgets.refund(START, &caller(), 4);
@@ -73,12 +73,12 @@
     assert_eq!(budgets.pay(START, &CallerName::new("other"), 0), Err(BudgetError::UnknownCaller));
 }
 
-/// A dispatcher whose caller can pay for two queries and earns nothing.
-fn poor() -> Harness {
+/// A dispatcher whose caller can pay for two queries and whose budget is not refilled.
+fn with_small_budget() -> Harness {
     let mut harness = Harness::new(&[&[0, 1]]);
     let account = CallerAccount { budget_per_second: 0, burst: 2 * PRICE };
     harness.reconfigure(|catalog| {
-        // The bucket holds no more than the smaller burst from now on.
+        // Reconfiguration caps the level of the bucket at the smaller burst.
         change(catalog, Change::DefineCaller { caller: caller(), account });
     });
     harness
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_caller_whose_budget_is_spent_is_refused_before_anything_is_sent() {
-    let mut harness = poor();
+    let mut harness = with_small_budget();
     for _ in 0..2 {
         let sending = sends(&harness.submit(true))[0];
         answered(&harness.answer(sending));
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_caller_without_an_account_gets_neither_a_key_nor_an_answer() {
-    let mut harness = poor();
+    let mut harness = with_small_budget();
     let stranger = CallerName::new("stranger");
     let refusal = harness.dispatcher.issue_key(harness.now, stranger).unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::UnknownCaller);
@@ -124,7 +124,7 @@
     assert_eq!(sends(&effects), []);
 }
 
-/// The catalog of the other tests, but for the account.
+/// Catalog of the other tests without the account.
 fn catalog_without_callers() -> Catalog {
     let mut catalog = Catalog::default();
     change(&mut catalog, Change::AddLeaf(leaf(0, placement("south", "a"))));
@@ -136,7 +136,7 @@
     catalog
 }
 
-/// Ends a query in a way that is not an answer.
+/// Ends a query without an answer.
 type Ending = fn(&mut Harness, OutgoingRequest);
 
 #[rstest]
@@ -161,8 +161,8 @@
 #[case::deadline(|harness: &mut Harness, _first: OutgoingRequest| {
     harness.wait(millis(2000));
 })]
-fn what_is_not_answered_is_given_back_and_not_charged(#[case] ending: Ending) {
-    let mut harness = poor();
+fn a_query_without_an_answer_is_refunded_and_not_charged(#[case] ending: Ending) {
+    let mut harness = with_small_budget();
     for _ in 0..5 {
         let sending = sends(&harness.submit(true))[0];
         ending(&mut harness, sending);
@@ -172,15 +172,15 @@
 }
 
 #[test]
-fn a_query_that_is_refused_in_the_queue_is_given_its_price_back() {
-    let mut harness = poor();
+fn a_query_that_is_refused_in_the_queue_is_refunded() {
+    let mut harness = with_small_budget();
     harness.reconfigure(|catalog| {
         let service = service();
         change(catalog, Change::DefineService { service, concurrency: 1 });
     });
     let key = harness.dispatcher.issue_key(harness.now, caller()).expect("the table has room");
     let (_, effects) = harness.submit_keyed(caller(), &key, 1, millis(60_000));
-    assert_eq!(sends(&effects).len(), 1, "the only slot is taken for long");
+    assert_eq!(sends(&effects).len(), 1, "the only slot stays taken");
     for _ in 0..5 {
         assert_eq!(outcome(&harness.submit(true)), None);
         let effects = harness.wait(millis(1000));
@@ -190,7 +190,7 @@
 
 #[test]
 fn an_outcome_that_is_unknown_names_no_charge() {
-    let mut harness = poor();
+    let mut harness = with_small_budget();
     let sending = sends(&harness.submit(false))[0];
     let effects = harness.fail(sending, LeafFailure::Broken);
     let Some(QueryOutcome::Unknown { known, .. }) = outcome(&effects) else {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn reports_that_come_twice_late_or_after_a_restart_count_once() {
+fn duplicate_late_and_restarted_reports_count_once() {
     let broker = BrokerName::new("broker");
     let mut counters = ChargeCounters::default();
     counters.charge(key(), 3);
--- a/crates/domain/tests/coverage.rs
+++ b/crates/domain/tests/coverage.rs
@@ -1,4 +1,4 @@
-//! When a query is answered, and what the answer says of the shards that are missing.
+//! Time of the answer and the missing shards that the answer reports.
 
 mod support;
 
@@ -19,7 +19,7 @@
 #[rstest]
 #[case::partial(PARTIAL, 100)]
 #[case::full(AnswerPolicy::Full, 1000)]
-fn the_class_says_when_an_incomplete_answer_is_given(
+fn the_answer_policy_decides_when_an_incomplete_answer_is_given(
     #[case] policy: AnswerPolicy,
     #[case] expected_millis: u64,
 ) {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn at_the_soft_deadline_with_nothing_yet_the_query_waits_on() {
+fn without_any_reply_the_query_waits_past_the_soft_deadline() {
     let mut harness = Harness::with_policy(&[&[0], &[1]], PARTIAL);
     let sent = sends(&harness.submit(true));
     assert!(!has_ended(&harness.wait(millis(500))));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn at_the_deadline_with_nothing_the_outcome_is_unknown() {
+fn without_any_reply_the_outcome_at_the_deadline_is_unknown() {
     let mut harness = Harness::with_policy(&[&[0], &[1]], PARTIAL);
     harness.submit(true);
     let effects = harness.wait(millis(1000));
@@ -53,7 +53,7 @@
 #[rstest]
 #[case::partial(PARTIAL)]
 #[case::full(AnswerPolicy::Full)]
-fn what_cannot_come_any_more_is_not_waited_for(#[case] policy: AnswerPolicy) {
+fn a_query_ends_at_once_when_no_replica_is_left(#[case] policy: AnswerPolicy) {
     let mut harness = Harness::with_policy(&[&[0], &[1]], policy);
     let sent = sends(&harness.submit(true));
     harness.answer(sent[0]);
@@ -80,7 +80,7 @@
     &[End::Refuses, End::Answers, End::IsSilent],
     &[(0, MissingReason::NotRun), (2, MissingReason::Unknown)]
 )]
-fn missing_shards_are_named_with_the_reason(
+fn missing_shards_are_reported_with_the_reason(
     #[case] ends: &[End],
     #[case] expected: &[(u32, MissingReason)],
 ) {
--- a/crates/domain/tests/freshness.rs
+++ b/crates/domain/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! A broker starts queries only while it may rely on its catalog and operators want it to.
+//! A broker starts queries only while its freshness lease holds and it is not drained.
 
 mod support;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn nothing_is_started_before_the_first_lease() {
+fn no_query_starts_without_a_valid_lease() {
     let mut harness = Harness::new(&[&[0]]);
     harness.handle(Event::FreshUntil(Timestamp::ZERO));
     let effects = harness.submit(true);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nothing_is_started_from_the_end_of_the_lease_on_and_what_runs_goes_on() {
+fn no_query_starts_after_the_lease_and_running_queries_go_on() {
     let mut harness = Harness::new(&[&[0]]);
     let until = harness.now.after(millis(100));
     harness.handle(Event::FreshUntil(until));
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn query_that_waited_does_not_start_after_the_lease() {
+fn queued_query_does_not_start_after_the_lease() {
     let mut harness = Harness::new(&[&[0]]);
     harness.reconfigure(|catalog| {
         change(catalog, Change::DefineService { service: service(), concurrency: 1 });
     });
     harness.handle(Event::FreshUntil(harness.now.after(millis(100))));
     let running = sends(&harness.submit(true));
-    assert_eq!(harness.submit(true), [], "the second one waits");
+    assert_eq!(harness.submit(true), [], "the second query waits");
     harness.wait(millis(100));
     let effects = harness.answer(running[0]);
     let outcomes: Vec<_> =
--- a/crates/domain/tests/request_keys.rs
+++ b/crates/domain/tests/request_keys.rs
@@ -1,4 +1,4 @@
-//! Request keys: at most once over resends, hang-ups, restarts and expiry.
+//! Request keys: at-most-once execution over resends, disconnects, restarts and expiry.
 
 mod support;
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_refusal_on_entry_leaves_the_key_unused() {
+fn a_query_refused_before_admission_leaves_the_key_unused() {
     let mut harness = Harness::new(&[&[0]]);
     let key = key(&mut harness);
     harness.handle(Event::StopRequested);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_query_under_a_key_goes_on_when_its_caller_hangs_up() {
+fn a_keyed_query_goes_on_when_its_caller_disconnects() {
     let mut harness = Harness::new(&[&[0, 1]]);
     let key = key(&mut harness);
     let (first, effects) = harness.submit_keyed(caller(), &key, DIGEST, millis(1000));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_resend_that_hangs_up_leaves_the_query_alone() {
+fn a_resend_whose_caller_disconnects_does_not_end_the_query() {
     let mut harness = Harness::new(&[&[0, 1]]);
     let key = key(&mut harness);
     let (first, effects) = harness.submit_keyed(caller(), &key, DIGEST, millis(1000));
@@ -203,12 +203,12 @@
 )]
 #[case::never_issued(|key: &mut RequestKey| key.sequence = 99, UnrecordedReason::NotKnown)]
 fn a_key_that_this_run_did_not_issue_is_never_executed(
-    #[case] bend: fn(&mut RequestKey),
+    #[case] alter: fn(&mut RequestKey),
     #[case] expected: UnrecordedReason,
 ) {
     let mut table = table(limits());
     let mut key = table.issue(START, caller()).unwrap();
-    bend(&mut key);
+    alter(&mut key);
     assert_eq!(claim(&mut table, START, &key), Claim::Unrecorded(expected));
 }
 
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_running_query_keeps_its_key_and_its_record_lives_from_its_end() {
+fn a_running_query_keeps_its_key_and_the_lifetime_starts_at_its_end() {
     let mut table = table(limits());
     let key = table.issue(START, caller()).unwrap();
     assert_eq!(claim(&mut table, START, &key), Claim::Execute);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn recorded_answers_are_bounded_and_the_oldest_is_forgotten() {
+fn recorded_answers_are_bounded_and_the_oldest_is_evicted() {
     let mut table = table(limits());
     let keys: Vec<RequestKey> = (0..3).map(|_| table.issue(START, caller()).unwrap()).collect();
     for key in &keys {
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_key_survives_its_text() {
+fn a_key_survives_formatting_and_parsing() {
     let mut table = table(limits());
     let key = table.issue(START, caller()).unwrap();
     assert_eq!(key.to_string(), "broker.0000000000000007.0");
--- a/crates/domain/tests/snapshots.rs
+++ b/crates/domain/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! One snapshot per answer.
+//! Every answer is read from one snapshot: pinning, restarts and unavailable snapshots.
 
 mod support;
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_lost_snapshot_starts_the_query_over_on_the_newer_one() {
+fn a_lost_snapshot_restarts_the_query_on_the_newer_one() {
     let mut harness = served();
     let sent = sends(&harness.submit(true));
     harness.reconfigure(|catalog| publish(catalog, 2));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn starting_over_cancels_what_is_in_flight() {
+fn a_restart_cancels_requests_in_flight() {
     let mut harness = served();
     let sent = sends(&harness.submit(true));
     harness.reconfigure(|catalog| publish(catalog, 2));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_query_that_is_not_repeatable_never_starts_over() {
+fn a_query_that_is_not_repeatable_never_restarts() {
     let mut harness = served();
     let sent = sends(&harness.submit(false));
     harness.reconfigure(|catalog| publish(catalog, 2));
@@ -124,14 +124,14 @@
 }
 
 #[test]
-fn while_a_shard_refuses_the_newest_snapshot_queries_read_the_one_before() {
+fn while_a_shard_refuses_the_newest_snapshot_queries_read_the_previous_one() {
     let mut harness = served();
     harness.reconfigure(|catalog| publish(catalog, 2));
     let first = sends(&harness.submit(true));
     assert_eq!(first[1].snapshot, snapshot(0, 2));
     let second = sends(&harness.refuse(first[1], LOST));
     let back = sends(&harness.refuse(second[0], LOST));
-    assert_eq!(back.len(), 2, "all replicas refused: the query goes back");
+    assert_eq!(back.len(), 2, "all replicas refused: the query restarts on the earlier snapshot");
     assert!(back.iter().all(|sending| sending.snapshot == snapshot(0, 1)));
     assert_eq!(sends(&harness.submit(true))[0].snapshot, snapshot(0, 1));
     harness.wait(millis(600));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_query_that_cannot_start_over_reads_a_snapshot_known_to_be_served() {
+fn a_query_that_cannot_restart_reads_a_confirmed_snapshot() {
     let mut harness = served();
     harness.reconfigure(|catalog| publish(catalog, 2));
     assert_eq!(sends(&harness.submit(false))[0].snapshot, snapshot(0, 1));
--- a/crates/domain/tests/support/mod.rs
+++ b/crates/domain/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a small catalog, driven by hand.
+//! Test harness: a dispatcher with a small catalog and a manual clock.
 #![allow(dead_code)]
 
 pub mod cluster;
@@ -27,7 +27,7 @@
 /// Seed of all random choices.
 const SEED: u128 = 0x6b65_656c;
 
-/// A budget that no test spends.
+/// Budget that is larger than any test spends.
 const AMPLE: u64 = 1_000_000_000;
 
 pub fn caller() -> CallerName {
@@ -95,7 +95,7 @@
     catalog.apply(&change).expect("the change is valid");
 }
 
-/// Gives the caller of the tests a budget that none of them spends.
+/// Gives the test caller a budget larger than any test spends.
 pub fn define_caller(catalog: &mut Catalog) {
     let account = CallerAccount { budget_per_second: AMPLE, burst: AMPLE };
     change(catalog, Change::DefineCaller { caller: caller(), account });
@@ -120,7 +120,7 @@
     assign(catalog, shards);
 }
 
-/// A dispatcher, its catalog and its time.
+/// Dispatcher with its catalog and a manual clock.
 pub struct Harness {
     pub dispatcher: Dispatcher,
     pub catalog: Catalog,
@@ -150,7 +150,7 @@
         harness
     }
 
-    /// Changes the catalog and puts it in force.
+    /// Edits the catalog and hands it to the dispatcher.
     pub fn reconfigure(&mut self, edit: impl FnOnce(&mut Catalog)) -> Vec<Effect> {
         edit(&mut self.catalog);
         self.handle(Event::CatalogChanged(Arc::new(self.catalog.clone())))
@@ -162,13 +162,13 @@
         effects
     }
 
-    /// Submits a query with a deadline in a second.
+    /// Submits a query with a deadline one second from now.
     pub fn submit(&mut self, repeatable: bool) -> Vec<Effect> {
         let submission = self.submission(repeatable);
         self.handle(Event::Submitted(submission))
     }
 
-    /// A new query with a deadline in a second.
+    /// A new query with a deadline one second from now.
     pub fn submission(&mut self, repeatable: bool) -> Submission {
         let query = QueryId(self.next_query);
         self.next_query += 1;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Submits a query that is not repeatable under a key; gives its number too.
+    /// Submits a non-repeatable query under a key; returns its number and the effects.
     pub fn submit_keyed(
         &mut self,
         caller: CallerName,
@@ -205,7 +205,7 @@
         (query, effects)
     }
 
-    /// Moves the time on, running what falls due.
+    /// Advances the time by `span`, firing the timers that fall due.
     pub fn wait(&mut self, span: Duration) -> Vec<Effect> {
         let end = self.now.after(span);
         let mut effects = Vec::new();
@@ -235,7 +235,7 @@
         self.handle(Event::LeafCompleted { leaf, request, completion, draining })
     }
 
-    /// The leaf answers on the snapshot that it was asked for.
+    /// Completes a request with a result for the requested snapshot.
     pub fn answer(&mut self, sending: OutgoingRequest) -> Vec<Effect> {
         self.complete(sending, result(sending.snapshot))
     }
@@ -248,8 +248,8 @@
         self.complete(sending, LeafCompletion::Failed(failure))
     }
 
-    /// Runs whole queries whose leaves answer after `latency(leaf)`; gives the requests that
-    /// each leaf of `0..leaves` got.
+    /// Runs queries to completion with leaves that answer after `latency(leaf)`; returns the number
+    /// of requests to each leaf of `0..leaves`.
     pub fn run_queries(
         &mut self,
         count: usize,
@@ -308,7 +308,7 @@
     })
 }
 
-/// The answer among the effects; panics when there is another outcome or none.
+/// Answer among the effects; panics on another outcome or none.
 pub fn answered(effects: &[Effect]) -> Answer {
     match outcome(effects) {
         Some(QueryOutcome::Answered(answer)) => answer,
--- a/crates/domain/tests/tail.rs
+++ b/crates/domain/tests/tail.rs
@@ -1,4 +1,4 @@
-//! Hedges, retries, attempts and their budgets.
+//! Hedges, retries, attempt limits and budgets.
 
 mod support;
 
@@ -13,8 +13,8 @@
 use rstest::rstest;
 use support::*;
 
-/// A fleet of one shard with four replicas whose p95 is known to be about 5 ms.
-fn measured() -> Harness {
+/// A fleet of one shard with four replicas whose p95 was recorded as about 5 ms.
+fn with_latency_samples() -> Harness {
     let mut harness = Harness::new(&[&[0, 1, 2, 3]]);
     harness.run_queries(120, 4, |_| millis(5));
     harness
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_late_request_is_hedged_to_another_replica_and_the_loser_cancelled() {
-    let mut harness = measured();
+    let mut harness = with_latency_samples();
     let primary = sends(&harness.submit(true))[0];
     assert!(sends(&harness.wait(millis(4))).is_empty(), "not late yet");
     let hedge = sends(&harness.wait(millis(3)));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_loser_is_cancelled_while_other_shards_are_still_owed() {
+fn a_loser_is_cancelled_while_other_shards_are_still_in_flight() {
     let mut harness = Harness::new(&[&[0, 1], &[2, 3]]);
     harness.run_queries(120, 4, |_| millis(5));
     let primaries = sends(&harness.submit(true));
@@ -46,20 +46,20 @@
 
 #[test]
 fn one_hedge_per_shard() {
-    let mut harness = measured();
+    let mut harness = with_latency_samples();
     harness.submit(true);
     assert_eq!(sends(&harness.wait(millis(500))).len(), 1);
 }
 
 #[test]
 fn a_request_that_is_not_repeatable_is_never_hedged() {
-    let mut harness = measured();
+    let mut harness = with_latency_samples();
     harness.submit(false);
     assert!(sends(&harness.wait(millis(999))).is_empty());
 }
 
 #[test]
-fn nothing_is_hedged_before_latency_was_measured() {
+fn nothing_is_hedged_before_latency_was_recorded() {
     let mut harness = Harness::new(&[&[0, 1]]);
     harness.submit(true);
     assert!(sends(&harness.wait(millis(999))).is_empty());
@@ -67,11 +67,11 @@
 
 #[test]
 fn hedges_stay_within_their_share_of_primary_sends() {
-    let mut harness = measured();
-    // The queries that were measured.
+    let mut harness = with_latency_samples();
+    // Primary sends of the queries that recorded the latency.
     let (mut primaries, mut hedges) = (120, 0);
     for _ in 0..4000 {
-        // Latency stays measured, as late requests tell nothing of it.
+        // Keeps samples in the latency window, because late requests record none.
         harness.run_queries(1, 4, |_| millis(5));
         let primary = sends(&harness.submit(true));
         primaries += 1 + primary.len();
@@ -88,7 +88,7 @@
 
 #[test]
 fn while_leaves_shed_there_are_neither_hedges_nor_retries() {
-    let mut harness = measured();
+    let mut harness = with_latency_samples();
     let mut retries = 0;
     for _ in 0..100 {
         let mut open = sends(&harness.submit(true));
@@ -103,7 +103,7 @@
     assert!(sends(&harness.wait(millis(500))).is_empty());
 }
 
-/// Fails every attempt of one query; gives its first sends and its retries.
+/// Fails every attempt of one query; returns the numbers of first sends and of retries.
 fn fail_query(harness: &mut Harness) -> (usize, usize) {
     let mut open = sends(&harness.submit(true));
     let (first, mut retries) = (open.len(), 0);
@@ -128,10 +128,11 @@
     assert!(retries > 100);
 }
 
-/// A process forgets its retries when it ends. One that was killed and started twenty times while all leaves failed sent
-/// 400 retries for 200 queries, since each start came with a full budget of 50; what a start brings is bounded now.
+/// Guards against extra retries from a restart loop. The retry bucket is lost with the process;
+/// when every start brought a full bucket of 50, a process started twenty times while all leaves
+/// failed sent 400 retries for 200 queries.
 #[test]
-fn processes_that_start_again_and_again_do_not_add_up_retries() {
+fn a_restart_loop_does_not_accumulate_retries() {
     let (mut primaries, mut retries) = (0, 0);
     for _ in 0..20 {
         let mut harness = Harness::new(&[&[0, 1, 2, 3]]);
@@ -144,7 +145,7 @@
     assert!(retries <= primaries, "{retries} retries for {primaries} primary sends");
 }
 
-/// Fails every attempt of one query the same way; gives the attempts and the final effects.
+/// Fails every attempt of one query the same way; returns the attempts and the final effects.
 fn fail_all(harness: &mut Harness, repeatable: bool, failure: LeafFailure) -> (usize, Vec<Effect>) {
     let mut effects = harness.submit(repeatable);
     let mut attempts = 0;
@@ -175,7 +176,7 @@
 #[case::unsent(LeafFailure::NotSent, true)]
 #[case::broken(LeafFailure::Broken, false)]
 #[case::leaf_error(LeafFailure::LeafError, false)]
-fn not_run_is_said_only_when_nothing_was_written(
+fn not_run_is_reported_only_when_nothing_was_written(
     #[case] failure: LeafFailure,
     #[case] not_run: bool,
 ) {
@@ -217,7 +218,7 @@
 
 #[test]
 fn the_time_left_goes_with_every_request() {
-    let mut harness = measured();
+    let mut harness = with_latency_samples();
     let time_left = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::Send { time_left, .. } => Some(*time_left),
@@ -231,8 +232,8 @@
 }
 
 #[test]
-fn the_deadline_cancels_everything_and_says_unknown() {
-    let mut harness = measured();
+fn the_deadline_cancels_everything_and_the_outcome_is_unknown() {
+    let mut harness = with_latency_samples();
     let primary: OutgoingRequest = sends(&harness.submit(false))[0];
     let effects = harness.wait(millis(1000));
     assert_eq!(cancels(&effects), [primary.leaf]);
@@ -280,12 +281,12 @@
     assert!(budget.take() && !budget.take());
 }
 
-/// Window of the sliding budgets of tests.
+/// Window of the sliding budgets under test, in primary sends.
 const WINDOW: usize = 40;
-/// Share of the sliding budgets of tests: one in ten.
+/// Share of the sliding budgets under test: one extra send in ten primary sends.
 const ONE_IN: usize = 10;
 
-/// Extra sends after each primary send, when so many are wanted.
+/// Extra sends granted after each primary send when `wanted` are requested.
 fn taken(wanted: &[usize]) -> Vec<usize> {
     let mut budget = SlidingBudget::new(1.0 / ONE_IN as f64, WINDOW);
     let take = |wanted: &usize| {
@@ -316,14 +317,14 @@
 }
 
 #[test]
-fn what_a_sliding_budget_saved_up_may_be_taken_at_once() {
+fn a_sliding_budget_may_be_spent_in_one_burst() {
     let mut wanted = vec![0; 100];
     wanted[99] = 8;
     assert_eq!(taken(&wanted)[99], WINDOW / ONE_IN);
 }
 
 #[test]
-fn what_is_given_back_to_a_sliding_budget_can_be_taken_again() {
+fn what_is_returned_to_a_sliding_budget_can_be_taken_again() {
     let mut budget = SlidingBudget::new(0.5, 4);
     budget.give_back();
     assert!(!budget.take(), "nothing was sent");
