--- a/crates/domain/src/routing/mod.rs
+++ b/crates/domain/src/routing/mod.rs
@@ -184,7 +184,7 @@
     }
 
     /// Takes over the list of brokers that share the leaves.
-    pub fn brokers_changed(&mut self, brokers: Arc<[BrokerEntry]>, catalog: &Catalog) {
+    pub fn update_brokers(&mut self, brokers: Arc<[BrokerEntry]>, catalog: &Catalog) {
         self.subsetting = Subsetting::new(self.own.clone(), &brokers);
         self.layout = Layout::default();
         let all = self.entries.keys().copied().collect();
--- a/crates/domain/tests/layout.rs
+++ b/crates/domain/tests/layout.rs
@@ -112,7 +112,7 @@
 
 fn router(policy: RoutingPolicy, known: &Arc<[BrokerEntry]>, catalog: &Catalog) -> Router {
     let mut router = Router::new(own(), policy);
-    router.brokers_changed(known.clone(), &Catalog::default());
+    router.update_brokers(known.clone(), &Catalog::default());
     router.reconfigure(Timestamp::ZERO, catalog);
     router
 }
@@ -151,7 +151,7 @@
             }
             Step::Brokers(count) => {
                 known = brokers(count);
-                kept.brokers_changed(known.clone(), &catalog);
+                kept.update_brokers(known.clone(), &catalog);
             }
         }
         if checked.contains(&number) {
