--- a/crates/domain/src/dispatch/mod.rs
+++ b/crates/domain/src/dispatch/mod.rs
@@ -155,7 +155,7 @@
             Event::CatalogChanged(catalog) => self.reconfigure(now, catalog, effects),
             Event::FreshUntil(until) => self.fresh_until = Some(until),
             Event::BrokersChanged(brokers) => self.router.update_brokers(brokers, &self.catalog),
-            Event::PlatformLeaving(leaves) => self.router.platform_leaving(now, &leaves),
+            Event::PlatformLeaving(leaves) => self.router.set_platform_draining(now, &leaves),
             Event::ThresholdChanged { service, lowest_admitted } => {
                 self.threshold_changed(now, &service, lowest_admitted, effects)
             }
--- a/crates/domain/src/routing/mod.rs
+++ b/crates/domain/src/routing/mod.rs
@@ -192,7 +192,7 @@
     }
 
     /// The platform's list of leaving machines, whole; it lags, so it only adds to the others.
-    pub fn platform_leaving(&mut self, now: Timestamp, leaving: &[LeafId]) {
+    pub fn set_platform_draining(&mut self, now: Timestamp, leaving: &[LeafId]) {
         for (id, view) in &mut self.leaves {
             let listed = leaving.contains(id);
             if view.drain.platform && !listed {
