--- a/crates/domain/src/routing/mod.rs
+++ b/crates/domain/src/routing/mod.rs
@@ -320,7 +320,7 @@
             return;
         };
         let limit = self.entries.get(&leaf).map_or(1, |entry| entry.connection_limit as usize);
-        let alone = self.subsetting.is_alone();
+        let alone = self.subsetting.uses_all_replicas();
         let holders = if alone { 1 } else { self.layout.holders(leaf).unwrap_or(1) };
         view.connection_limit = (limit / holders.max(1)).max(1);
     }
--- a/crates/domain/src/routing/subset.rs
+++ b/crates/domain/src/routing/subset.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether no other broker is known, so that every replica is used.
-    pub fn is_alone(&self) -> bool {
+    pub fn uses_all_replicas(&self) -> bool {
         self.uses_all
     }
 
