--- a/crates/control/src/cluster_task/routes.rs
+++ b/crates/control/src/cluster_task/routes.rs
@@ -62,7 +62,7 @@
     pub(super) fn directory_read(&mut self, reading: DirectoryReading) {
         let (now, known) = (self.clock.now(), self.state.directory());
         let mut listed = self.listed_leaves.read(now, known, reading);
-        self.state.routes().drop_idle_warm_ups(&mut listed);
+        self.state.routes().clear_unlimited_cold_starts(&mut listed);
         let Some(delta) = self.state.directory().delta_to(&listed) else {
             return;
         };
--- a/crates/domain/src/routes/accepted.rs
+++ b/crates/domain/src/routes/accepted.rs
@@ -78,7 +78,7 @@
     /// nothing follows from it, and hundreds of leaves that turn warm together are a large change of the
     /// list for every broker. Over 291 brokers it cost 0.04 of the credit on a simulated day whose index was cut
     /// anew.
-    pub fn drop_idle_warm_ups(&self, listed: &mut [ListedLeaf]) {
+    pub fn clear_unlimited_cold_starts(&self, listed: &mut [ListedLeaf]) {
         let services = self.current.iter().flat_map(|routes| &routes.configuration.services);
         let limited: BTreeSet<&ServiceName> = services
             .filter(|service| service.cold_start.is_limited())
--- a/crates/domain/tests/routes.rs
+++ b/crates/domain/tests/routes.rs
@@ -228,7 +228,7 @@
     };
     let told = |state: &RouteState| {
         let mut leaves = ["a", "b", "unnamed"].map(listed);
-        state.drop_idle_warm_ups(&mut leaves);
+        state.clear_unlimited_cold_starts(&mut leaves);
         leaves.map(|leaf| leaf.cold_ms)
     };
     assert_eq!(told(&state), [0, 0, 0]);
