--- a/crates/domain/src/routes/configuration.rs
+++ b/crates/domain/src/routes/configuration.rs
@@ -202,7 +202,7 @@
             }
             for key in &tenant.keys {
                 if let Some(other) = holders.insert(*key, &tenant.name) {
-                    return Err(RouteError::KeyOfTwo(other.clone(), tenant.name.clone()));
+                    return Err(RouteError::DuplicateKey(other.clone(), tenant.name.clone()));
                 }
             }
         }
--- a/crates/domain/src/routes/error.rs
+++ b/crates/domain/src/routes/error.rs
@@ -41,7 +41,7 @@
             display("tenant {tenant} is defined twice: define it once, with all its keys")
         }
         /// Two tenants hold one key.
-        KeyOfTwo(one: TenantName, other: TenantName) {
+        DuplicateKey(one: TenantName, other: TenantName) {
             display("tenants {one} and {other} hold the same key: give each tenant keys of its own")
         }
         /// A route has no time.
