--- a/crates/domain/src/routes/configuration.rs
+++ b/crates/domain/src/routes/configuration.rs
@@ -180,7 +180,7 @@
         for route in &self.routes {
             route.validate(&services)?;
             if !places.insert((&route.host, &route.path_prefix)) {
-                return Err(RouteError::SamePlace(
+                return Err(RouteError::DuplicateRoute(
                     route.name.clone(),
                     route.host.clone(),
                     route.path_prefix.clone(),
--- a/crates/domain/src/routes/error.rs
+++ b/crates/domain/src/routes/error.rs
@@ -17,7 +17,7 @@
             display("service {service} is defined twice: define it once")
         }
         /// Two routes match the same requests.
-        SamePlace(route: String, host: String, prefix: String) {
+        DuplicateRoute(route: String, host: String, prefix: String) {
             display("route {route} has the host {host} and the prefix {prefix} of another route: give each route a place of its own")
         }
         /// The weights of a split add up to nothing.
