--- a/crates/domain/src/routes/configuration.rs
+++ b/crates/domain/src/routes/configuration.rs
@@ -173,7 +173,7 @@
         let mut services = BTreeSet::new();
         for service in &self.services {
             if !services.insert(&service.name) {
-                return Err(RouteError::ServiceTwice(service.name.clone()));
+                return Err(RouteError::DuplicateService(service.name.clone()));
             }
         }
         let mut places = BTreeSet::new();
--- a/crates/domain/src/routes/error.rs
+++ b/crates/domain/src/routes/error.rs
@@ -13,7 +13,7 @@
             display("route {route} names service {service}, which is not defined: define it or name another one")
         }
         /// A service is defined twice.
-        ServiceTwice(service: ServiceName) {
+        DuplicateService(service: ServiceName) {
             display("service {service} is defined twice: define it once")
         }
         /// Two routes match the same requests.
--- a/crates/domain/tests/routes.rs
+++ b/crates/domain/tests/routes.rs
@@ -113,7 +113,7 @@
 fn a_service_is_defined_once() {
     let mut twice = configuration(1, vec![]);
     twice.services.push(service("a"));
-    assert_eq!(twice.validate(), Err(RouteError::ServiceTwice(ServiceName::new("a"))));
+    assert_eq!(twice.validate(), Err(RouteError::DuplicateService(ServiceName::new("a"))));
 }
 
 #[test]
