--- a/crates/domain/src/routes/configuration.rs
+++ b/crates/domain/src/routes/configuration.rs
@@ -198,7 +198,7 @@
                 return Err(RouteError::BadTenantName(tenant.name.clone()));
             }
             if !names.insert(&tenant.name) {
-                return Err(RouteError::TenantTwice(tenant.name.clone()));
+                return Err(RouteError::DuplicateTenant(tenant.name.clone()));
             }
             for key in &tenant.keys {
                 if let Some(other) = holders.insert(*key, &tenant.name) {
--- a/crates/domain/src/routes/error.rs
+++ b/crates/domain/src/routes/error.rs
@@ -37,7 +37,7 @@
             display("the tenant name `{}` cannot be sent to leaves: give each tenant a name without control characters or space around it", tenant.as_str().escape_debug())
         }
         /// Two tenants have one name.
-        TenantTwice(tenant: TenantName) {
+        DuplicateTenant(tenant: TenantName) {
             display("tenant {tenant} is defined twice: define it once, with all its keys")
         }
         /// Two tenants hold one key.
