--- a/crates/domain/src/catalog/error.rs
+++ b/crates/domain/src/catalog/error.rs
@@ -46,7 +46,7 @@
             display("caller {caller} has no account: list accounts with SHOW CALLERS, or DEFINE CALLER first")
         }
         /// A shard names a leaf twice.
-        ReplicaTwice(shard: ShardId, leaf: LeafId) {
+        DuplicateReplica(shard: ShardId, leaf: LeafId) {
             display("shard {shard} names leaf {leaf} twice: name each leaf once")
         }
         /// A broker of this name is admitted.
--- a/crates/domain/src/catalog/mod.rs
+++ b/crates/domain/src/catalog/mod.rs
@@ -263,7 +263,7 @@
         for (index, leaf) in leaves.iter().enumerate() {
             self.leaf_mut(*leaf)?;
             if leaves[..index].contains(leaf) {
-                return Err(CatalogError::ReplicaTwice(shard, *leaf));
+                return Err(CatalogError::DuplicateReplica(shard, *leaf));
             }
         }
         if shard.0 >= SHARD_LIMIT {
