--- a/crates/broker/src/feed.rs
+++ b/crates/broker/src/feed.rs
@@ -356,12 +356,12 @@
             }
             FeedMessage::WholeDirectory { directory } => self.send_routes(|| {
                 let mut directory: LeafDirectory = unpack_document(&directory.bytes)?;
-                directory.share_names();
+                directory.intern_names();
                 Ok(RouteUpdate::WholeDirectory(directory))
             })?,
             FeedMessage::DirectoryChange { delta } => self.send_routes(|| {
                 let mut delta: DirectoryDelta = unpack_document(&delta.bytes)?;
-                delta.share_names();
+                delta.intern_names();
                 Ok(RouteUpdate::DirectoryChange(delta))
             })?,
             FeedMessage::LeafWarnings { warnings } => self
--- a/crates/domain/src/directory/mod.rs
+++ b/crates/domain/src/directory/mod.rs
@@ -87,7 +87,7 @@
 
 impl DirectoryDelta {
     /// Holds each name once that many leaves share.
-    pub fn share_names(&mut self) {
+    pub fn intern_names(&mut self) {
         let mut names = SharedNames::default();
         self.changed.iter_mut().for_each(|leaf| names.share(leaf));
     }
@@ -95,7 +95,7 @@
 
 impl LeafDirectory {
     /// Holds each name once that many leaves share.
-    pub fn share_names(&mut self) {
+    pub fn intern_names(&mut self) {
         let mut names = SharedNames::default();
         self.leaves.values_mut().for_each(|leaf| names.share(leaf));
     }
