--- a/crates/control/src/cluster_task/routes.rs
+++ b/crates/control/src/cluster_task/routes.rs
@@ -45,7 +45,7 @@
     pub(super) fn routes_replaced(&mut self) {
         self.pending_routes.accepted(self.state.routes().version());
         let routes = self.state.routes().current();
-        if routes.is_some_and(|routes| routes.names_unlisted(self.state.directory())) {
+        if routes.is_some_and(|routes| routes.names_unlisted_service(self.state.directory())) {
             // Without an external directory there is no receiver.
             let _ = self.senders.read_directory.send(ReadAtOnce);
         }
--- a/crates/domain/src/routes/accepted.rs
+++ b/crates/domain/src/routes/accepted.rs
@@ -32,7 +32,7 @@
 
 impl AcceptedRoutes {
     /// Whether a route names a service of which a list has no leaf.
-    pub fn names_unlisted(&self, directory: &LeafDirectory) -> bool {
+    pub fn names_unlisted_service(&self, directory: &LeafDirectory) -> bool {
         let listed: BTreeSet<&ServiceName> =
             directory.leaves().values().map(|leaf| &leaf.service).collect();
         let routes = self.configuration.routes.iter();
