--- a/crates/control/src/entries.rs
+++ b/crates/control/src/entries.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerkeel_domain::directory::{EntryFault, LeftOutEntry, ListedLeaf};
+use gingerkeel_domain::directory::{EntryFault, ListedLeaf, RejectedEntry};
 use gingerkeel_domain::identifiers::LeafIdentity;
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde_json::value::RawValue;
@@ -73,7 +73,7 @@
             match read_entry::<E>(entry.get()) {
                 Ok(leaf) => page.leaves.push(leaf),
                 Err(fault) => {
-                    page.left_out.push(LeftOutEntry { leaf: identity::<E>(entry.get()), fault });
+                    page.left_out.push(RejectedEntry { leaf: identity::<E>(entry.get()), fault });
                 }
             }
         }
@@ -120,7 +120,7 @@
             }
         }
     }
-    page.left_out.push(LeftOutEntry { leaf: None, fault: EntryFault::Unreadable });
+    page.left_out.push(RejectedEntry { leaf: None, fault: EntryFault::Unreadable });
     Some(page)
 }
 
--- a/crates/control/src/ports.rs
+++ b/crates/control/src/ports.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gingerkeel_domain::directory::{LeftOutEntry, ListedLeaf};
+use gingerkeel_domain::directory::{ListedLeaf, RejectedEntry};
 use gingerkeel_domain::identifiers::{ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::rollout::Rollout;
 use gingerkeel_domain::routes::{AcceptedRoutes, RouteVersion};
@@ -107,7 +107,7 @@
     /// The leaves of the page.
     pub leaves: Vec<ListedLeaf>,
     /// Its entries that name no usable leaf.
-    pub left_out: Vec<LeftOutEntry>,
+    pub left_out: Vec<RejectedEntry>,
     /// Name of the next page; none on the last.
     pub next: Option<String>,
 }
--- a/crates/domain/src/directory/reading.rs
+++ b/crates/domain/src/directory/reading.rs
@@ -33,7 +33,7 @@
 
 /// An entry that names no usable leaf.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LeftOutEntry {
+pub struct RejectedEntry {
     /// The leaf that it names; none where that cannot be read.
     pub leaf: Option<LeafIdentity>,
     /// Why it is left out.
@@ -45,7 +45,7 @@
 pub struct DirectoryReading {
     /// The newest start of each leaf, by name.
     leaves: BTreeMap<String, ListedLeaf>,
-    left_out: Vec<LeftOutEntry>,
+    left_out: Vec<RejectedEntry>,
     /// The names of the leaves that they name.
     left_out_names: BTreeSet<String>,
 }
@@ -68,7 +68,7 @@
             Some((Ordering::Less, _)) => {}
             Some((Ordering::Equal, false)) => {
                 let fault = EntryFault::Contradicted;
-                self.leave_out(LeftOutEntry { leaf: Some(entry.identity), fault });
+                self.leave_out(RejectedEntry { leaf: Some(entry.identity), fault });
             }
             _ => {
                 self.leaves.insert(name, entry);
@@ -77,7 +77,7 @@
     }
 
     /// Adds an entry that names no usable leaf. One that names a leaf which was read contradicts it.
-    pub fn leave_out(&mut self, entry: LeftOutEntry) {
+    pub fn leave_out(&mut self, entry: RejectedEntry) {
         if let Some(leaf) = &entry.leaf {
             self.leaves.remove(leaf.name());
             self.left_out_names.insert(leaf.name().to_owned());
@@ -91,7 +91,7 @@
     }
 
     /// What was left out, in the order of the list.
-    pub fn left_out(&self) -> &[LeftOutEntry] {
+    pub fn left_out(&self) -> &[RejectedEntry] {
         &self.left_out
     }
 
--- a/crates/domain/tests/directory_reading.rs
+++ b/crates/domain/tests/directory_reading.rs
@@ -4,7 +4,7 @@
 
 use gingerkeel_domain::directory::{
     DirectoryReading, EntryFault, HELD_FOR, HeldLeaves, LeafAvailability, LeafDirectory,
-    LeftOutEntry, ListedLeaf,
+    ListedLeaf, RejectedEntry,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::time::Timestamp;
@@ -23,8 +23,8 @@
     }
 }
 
-fn left_out(leaf: Option<&str>) -> LeftOutEntry {
-    LeftOutEntry { leaf: leaf.map(LeafIdentity::new), fault: EntryFault::Malformed }
+fn left_out(leaf: Option<&str>) -> RejectedEntry {
+    RejectedEntry { leaf: leaf.map(LeafIdentity::new), fault: EntryFault::Malformed }
 }
 
 /// A reading of these leaves, and of entries that name no usable leaf.
