--- a/crates/domain/src/directory/mod.rs
+++ b/crates/domain/src/directory/mod.rs
@@ -18,7 +18,7 @@
 use crate::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 
 pub use former::{FormerDirectoryDelta, FormerLeafDirectory};
-pub use reading::{DirectoryReading, EntryFault, HELD_FOR, HeldLeaves, RejectedEntry};
+pub use reading::{DirectoryReading, EntryFault, HOLD_PERIOD, HeldLeaves, RejectedEntry};
 pub use start::LeafStart;
 
 /// Version of the list within a cluster; grows with each delta.
--- a/crates/domain/src/directory/reading.rs
+++ b/crates/domain/src/directory/reading.rs
@@ -16,7 +16,7 @@
 /// How long a leaf stays listed as it is known while its entry cannot be used, or tells of an earlier start. Lists
 /// go on naming leaves that have ended for some seconds, so that brokers bear a leaf that is listed too long; one that
 /// is dropped too early serves nobody.
-pub const HELD_FOR: Duration = Duration::from_secs(10);
+pub const HOLD_PERIOD: Duration = Duration::from_secs(10);
 
 /// Why an entry was left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -145,7 +145,7 @@
             }
             let since = since.unwrap_or(now);
             self.held.insert(identity.clone(), since);
-            if now.since(since) < HELD_FOR {
+            if now.since(since) < HOLD_PERIOD {
                 reading.leaves.insert(identity.name().to_owned(), leaf.clone());
             }
         }
--- a/crates/domain/tests/directory_reading.rs
+++ b/crates/domain/tests/directory_reading.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gingerkeel_domain::directory::{
-    DirectoryReading, EntryFault, HELD_FOR, HeldLeaves, LeafAvailability, LeafDirectory,
+    DirectoryReading, EntryFault, HOLD_PERIOD, HeldLeaves, LeafAvailability, LeafDirectory,
     ListedLeaf, RejectedEntry,
 };
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
@@ -77,9 +77,9 @@
     let directory = known(&["a", "b"]);
     let unusable = || reading(&["a"], &[Some("b")]);
     assert_eq!(held.listed(at(Duration::ZERO), &directory, unusable()).len(), 2);
-    let almost = at(HELD_FOR - Duration::from_millis(1));
+    let almost = at(HOLD_PERIOD - Duration::from_millis(1));
     assert_eq!(held.listed(almost, &directory, unusable()).len(), 2);
-    assert_eq!(names(&held.listed(at(HELD_FOR), &directory, unusable())), ["a"]);
+    assert_eq!(names(&held.listed(at(HOLD_PERIOD), &directory, unusable())), ["a"]);
 }
 
 #[test]
@@ -87,9 +87,9 @@
     let mut held = HeldLeaves::default();
     let directory = known(&["a", "b"]);
     held.listed(Timestamp::ZERO, &directory, reading(&["a"], &[Some("b")]));
-    held.listed(at(HELD_FOR / 2), &directory, reading(&["a", "b"], &[]));
+    held.listed(at(HOLD_PERIOD / 2), &directory, reading(&["a", "b"], &[]));
     assert_eq!(held.count(), 0);
-    let listed = held.listed(at(HELD_FOR), &directory, reading(&["a"], &[Some("b")]));
+    let listed = held.listed(at(HOLD_PERIOD), &directory, reading(&["a"], &[Some("b")]));
     assert_eq!(names(&listed), ["a", "b"]);
 }
 
