--- a/crates/control/src/directory_polling.rs
+++ b/crates/control/src/directory_polling.rs
@@ -160,7 +160,7 @@
             let body = body.await.map_err(|_| PollError::Silent)??;
             let read = self.interface.understand(&body)?;
             read.leaves.into_iter().for_each(|leaf| reading.add(leaf));
-            read.left_out.into_iter().for_each(|entry| reading.leave_out(entry));
+            read.left_out.into_iter().for_each(|entry| reading.reject(entry));
             match read.next {
                 Some(next) => page = Some(next),
                 None => return Ok(reading),
--- a/crates/domain/src/directory/reading.rs
+++ b/crates/domain/src/directory/reading.rs
@@ -68,7 +68,7 @@
             Some((Ordering::Less, _)) => {}
             Some((Ordering::Equal, false)) => {
                 let fault = EntryFault::Contradicted;
-                self.leave_out(RejectedEntry { leaf: Some(entry.identity), fault });
+                self.reject(RejectedEntry { leaf: Some(entry.identity), fault });
             }
             _ => {
                 self.leaves.insert(name, entry);
@@ -77,7 +77,7 @@
     }
 
     /// Adds an entry that names no usable leaf. One that names a leaf which was read contradicts it.
-    pub fn leave_out(&mut self, entry: RejectedEntry) {
+    pub fn reject(&mut self, entry: RejectedEntry) {
         if let Some(leaf) = &entry.leaf {
             self.leaves.remove(leaf.name());
             self.left_out_names.insert(leaf.name().to_owned());
--- a/crates/domain/tests/directory_reading.rs
+++ b/crates/domain/tests/directory_reading.rs
@@ -31,7 +31,7 @@
 fn reading(leaves: &[&str], unusable: &[Option<&str>]) -> DirectoryReading {
     let mut reading = DirectoryReading::default();
     leaves.iter().for_each(|name| reading.add(leaf(name, 1)));
-    unusable.iter().for_each(|name| reading.leave_out(left_out(*name)));
+    unusable.iter().for_each(|name| reading.reject(left_out(*name)));
     reading
 }
 
