--- a/crates/control/src/cluster_task/listed_leaves.rs
+++ b/crates/control/src/cluster_task/listed_leaves.rs
@@ -27,7 +27,7 @@
         reading: DirectoryReading,
     ) -> Vec<ListedLeaf> {
         let faults = reading.faults();
-        let named = reading.left_out().iter().find_map(|entry| entry.leaf.clone());
+        let named = reading.rejected().iter().find_map(|entry| entry.leaf.clone());
         let usable = reading.leaves().len();
         let listed = self.held.listed(now, known, reading);
         if faults != self.faults {
--- a/crates/domain/src/directory/reading.rs
+++ b/crates/domain/src/directory/reading.rs
@@ -45,9 +45,9 @@
 pub struct DirectoryReading {
     /// The newest start of each leaf, by name.
     leaves: BTreeMap<String, ListedLeaf>,
-    left_out: Vec<RejectedEntry>,
+    rejected: Vec<RejectedEntry>,
     /// The names of the leaves that they name.
-    left_out_names: BTreeSet<String>,
+    rejected_names: BTreeSet<String>,
 }
 
 impl DirectoryReading {
@@ -56,7 +56,7 @@
     /// identity are all left out.
     pub fn add(&mut self, entry: ListedLeaf) {
         let name = entry.identity.name().to_owned();
-        if self.left_out_names.contains(&name) {
+        if self.rejected_names.contains(&name) {
             return;
         }
         let order = self.leaves.get(&name).map(|known| {
@@ -80,9 +80,9 @@
     pub fn reject(&mut self, entry: RejectedEntry) {
         if let Some(leaf) = &entry.leaf {
             self.leaves.remove(leaf.name());
-            self.left_out_names.insert(leaf.name().to_owned());
+            self.rejected_names.insert(leaf.name().to_owned());
         }
-        self.left_out.push(entry);
+        self.rejected.push(entry);
     }
 
     /// The leaves that may be used, by name.
@@ -91,14 +91,14 @@
     }
 
     /// What was left out, in the order of the list.
-    pub fn left_out(&self) -> &[RejectedEntry] {
-        &self.left_out
+    pub fn rejected(&self) -> &[RejectedEntry] {
+        &self.rejected
     }
 
     /// How many entries were left out, by fault.
     pub fn faults(&self) -> BTreeMap<EntryFault, usize> {
         let mut faults = BTreeMap::new();
-        for entry in &self.left_out {
+        for entry in &self.rejected {
             *faults.entry(entry.fault).or_default() += 1;
         }
         faults
@@ -106,7 +106,7 @@
 
     /// How many of them name no leaf.
     fn nameless(&self) -> usize {
-        self.left_out.iter().filter(|entry| entry.leaf.is_none()).count()
+        self.rejected.iter().filter(|entry| entry.leaf.is_none()).count()
     }
 }
 
@@ -138,7 +138,7 @@
             let may_be_nameless = if since.is_some() { nameless > 0 } else { more_nameless };
             let is_held = match reading.leaves.get(identity.name()) {
                 Some(entry) => entry.identity.start() < identity.start(),
-                None => may_be_nameless || reading.left_out_names.contains(identity.name()),
+                None => may_be_nameless || reading.rejected_names.contains(identity.name()),
             };
             if !is_held {
                 continue;
