--- a/crates/control/src/replication/peers/outgoing.rs
+++ b/crates/control/src/replication/peers/outgoing.rs
@@ -223,7 +223,7 @@
 
     async fn connect(&mut self) -> Result<(Reader, OwnedWriteHalf<TcpStream>), ProtocolError> {
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect_addr(self.address));
-        let timed_out = |_| ProtocolError::Silent("no connection within 0.5 s");
+        let timed_out = |_| ProtocolError::TimedOut("no connection within 0.5 s");
         let stream = connecting.await.map_err(timed_out)??;
         // Without the option messages are only slower.
         let _ = stream.set_nodelay(true);
@@ -275,7 +275,7 @@
             }
             if last_reply.get().is_none_or(|last_reply| last_reply.elapsed() > PROBE_REPLY_TIMEOUT)
             {
-                return Err(ProtocolError::Silent("no probe reply within 2 s"));
+                return Err(ProtocolError::TimedOut("no probe reply within 2 s"));
             }
             if last_probe.elapsed() >= PROBE_INTERVAL {
                 last_probe = Instant::now();
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -21,7 +21,7 @@
             display("a document is not understood ({reason}): run the same release at both ends")
         }
         /// The peer did not do in time what it had to.
-        Silent(what: &'static str) {
+        TimedOut(what: &'static str) {
             display("the peer is silent ({what}): check that it runs and is reachable")
         }
         /// The socket failed.
--- a/crates/protocol/tests/errors.rs
+++ b/crates/protocol/tests/errors.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 
 #[rstest]
-#[case::silent(ProtocolError::Silent("it sends nothing"), "reachable")]
+#[case::silent(ProtocolError::TimedOut("it sends nothing"), "reachable")]
 #[case::malformed(ProtocolError::Malformed("kind 200".to_owned()), "same release")]
 #[case::socket(ProtocolError::Socket(std::io::Error::other("gone")), "reachable")]
 fn the_remedy_fits_the_cause(#[case] error: ProtocolError, #[case] remedy: &str) {
