--- a/crates/domain/src/feed/follower.rs
+++ b/crates/domain/src/feed/follower.rs
@@ -53,7 +53,7 @@
             display("change {revision} cannot be applied ({reason}): run the same release at both ends")
         }
         /// No grant came in time.
-        Silent {
+        LeaseTimeout {
             display("no lease was granted in time: check that a quorum of control processes is up and reachable")
         }
     }
@@ -218,7 +218,7 @@
             return;
         };
         if now >= link.last_grant.after(self.settings.silence_limit) {
-            self.give_up(FeedFault::Silent, effects);
+            self.give_up(FeedFault::LeaseTimeout, effects);
         } else if now >= link.next_renewal {
             self.renew(now, effects);
         }
--- a/crates/domain/tests/follower.rs
+++ b/crates/domain/tests/follower.rs
@@ -172,7 +172,7 @@
         assert!(broker.follower.is_fresh(now), "given up too late");
         broker.follower.handle(now, FollowerEvent::TimerElapsed, &mut effects);
     }
-    assert!(effects.contains(&FollowerEffect::GiveUp(FeedFault::Silent)));
+    assert!(effects.contains(&FollowerEffect::GiveUp(FeedFault::LeaseTimeout)));
 }
 
 #[test]
