--- a/crates/domain/src/routing/layout.rs
+++ b/crates/domain/src/routing/layout.rs
@@ -1,7 +1,7 @@
-//! The routes of all shards for one broker, brought up to date with what a change touches.
+//! The routes of all shards for one broker, updated incrementally.
 //!
-//! A route depends on the replicas of its shard, on their places and connection limits, and on
-//! the list of brokers. A shard whose replicas and their leaves are as before keeps its route.
+//! A route depends on the replicas of its shard, on their placements and connection limits, and on
+//! the list of brokers. A shard for which none of these changed keeps its route.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,19 +12,20 @@
 use crate::catalog::{Catalog, Leaf, LeafMap, PartitionMap, Service};
 use crate::identifiers::{LeafId, PartitionEpoch, ServiceName, ShardId};
 
-/// Leaves that differ between two catalogs.
+/// Differences between the leaves of two catalogs.
 #[derive(Debug, Default)]
 pub struct LeafChanges {
-    /// Leaves that are new or differ in anything.
+    /// Leaves that were added or changed in any field.
     pub changed: Vec<LeafId>,
-    /// Leaves that are gone.
+    /// Leaves that are no longer in the catalog.
     pub removed: Vec<LeafId>,
-    /// Leaves, of both lists, whose place or connection limit is another.
+    /// Leaves of both lists whose placement or connection limit changed, including leaves that
+    /// were added or removed.
     pub moved: BTreeSet<LeafId>,
 }
 
 impl LeafChanges {
-    /// Compares the leaves of two catalogs; those that they share are not looked into.
+    /// Compares the leaves of two catalogs; blocks that the catalogs share are skipped.
     pub fn between(former: &LeafMap, newer: &LeafMap) -> Self {
         let mut changes = Self::default();
         for id in newer.unshared_with(former) {
@@ -38,7 +39,7 @@
             (Some(known), Some(leaf)) if known == leaf => return,
             (Some(known), Some(leaf)) => {
                 self.changed.push(id);
-                if !lies_elsewhere(known, leaf) {
+                if !requires_new_route(known, leaf) {
                     return;
                 }
             }
@@ -49,38 +50,38 @@
     }
 }
 
-fn lies_elsewhere(one: &Leaf, other: &Leaf) -> bool {
+fn requires_new_route(one: &Leaf, other: &Leaf) -> bool {
     one.placement != other.placement || one.connection_limit != other.connection_limit
 }
 
-/// How the shards of one partition map are laid out.
+/// A partition map and the routes computed from it.
 #[derive(Debug, Clone)]
 struct MapLayout {
     map: Arc<PartitionMap>,
     table: Arc<ShardTable>,
 }
 
-/// Brokers that hold the leaves of one shard, at most.
+/// Upper bound on the number of brokers that connect to each replica of one shard.
 #[derive(Debug)]
 struct ShardHolders {
     replicas: Arc<Vec<LeafId>>,
     holders: Vec<(LeafId, usize)>,
 }
 
-/// Key of a shard among all services.
+/// A shard, qualified by its service.
 type ShardKey = (ServiceName, ShardId);
 
-/// The layout of a catalog for one broker.
+/// The routes of a catalog for one broker, and the connection counts derived from them.
 #[derive(Debug, Default)]
 pub struct Layout {
     services: BTreeMap<ServiceName, Vec<MapLayout>>,
-    held: BTreeSet<LeafId>,
+    preferred_leaves: BTreeSet<LeafId>,
     shard_holders: BTreeMap<ShardKey, ShardHolders>,
     holders: BTreeMap<LeafId, usize>,
 }
 
 impl Layout {
-    /// The routes of a service's shards at an epoch.
+    /// The routes of a service's shards at a partition epoch.
     pub fn table(&self, service: &ServiceName, epoch: PartitionEpoch) -> Option<&Arc<ShardTable>> {
         let maps = self.services.get(service)?;
         maps.iter().map(|layout| &layout.table).find(|table| table.epoch == epoch)
@@ -91,18 +92,19 @@
         self.services.values().flatten().flat_map(|layout| &layout.table.shards)
     }
 
-    /// Leaves that some route prefers.
-    pub fn held(&self) -> &BTreeSet<LeafId> {
-        &self.held
+    /// Leaves that are in a tier of at least one route.
+    pub fn preferred_leaves(&self) -> &BTreeSet<LeafId> {
+        &self.preferred_leaves
     }
 
-    /// Brokers that hold a leaf at most, over all its shards in the newest maps; none when no
-    /// shard names it.
+    /// Upper bound on the number of brokers that connect to a leaf, summed over its shards in the
+    /// newest maps; `None` if no shard lists the leaf.
     pub fn holders(&self, leaf: LeafId) -> Option<usize> {
         self.holders.get(&leaf).copied()
     }
 
-    /// Brings the layout to a catalog; gives the leaves whose number of holders may be another.
+    /// Updates the layout to a catalog; returns the leaves whose number of holders may have
+    /// changed.
     pub fn update(
         &mut self,
         catalog: &Catalog,
@@ -110,12 +112,12 @@
         subsetting: &Subsetting,
         policy: RoutingPolicy,
     ) -> BTreeSet<LeafId> {
-        let work = Work { catalog, moved, subsetting, policy };
+        let context = LayoutUpdate { catalog, moved, subsetting, policy };
         let former = std::mem::take(&mut self.services);
         let mut tables_changed = former.keys().any(|name| !catalog.services().contains_key(name));
         for (name, service) in catalog.services() {
             let known = former.get(name).map(Vec::as_slice).unwrap_or_default();
-            let maps = work.maps(service, known);
+            let maps = context.maps(service, known);
             let kept = known.iter().map(|map| &map.table).zip(maps.iter().map(|map| &map.table));
             tables_changed |= known.len() != maps.len()
                 || kept.into_iter().any(|(one, other)| !Arc::ptr_eq(one, other));
@@ -123,16 +125,16 @@
         }
         if tables_changed {
             let preferred = self.routes().flat_map(|route| route.tiers.iter().flatten().copied());
-            self.held = preferred.collect();
+            self.preferred_leaves = preferred.collect();
         }
-        self.update_holders(&work)
+        self.update_holders(&context)
     }
 
-    fn update_holders(&mut self, work: &Work<'_>) -> BTreeSet<LeafId> {
+    fn update_holders(&mut self, context: &LayoutUpdate<'_>) -> BTreeSet<LeafId> {
         let mut touched = BTreeSet::new();
-        let newest = newest_shards(work.catalog);
+        let newest = newest_shards(context.catalog);
         let stale = |key: &ShardKey, known: &ShardHolders| {
-            newest.get(key).is_none_or(|replicas| work.touches(&known.replicas, replicas))
+            newest.get(key).is_none_or(|replicas| context.touches(&known.replicas, replicas))
         };
         let dropped: Vec<ShardKey> = self
             .shard_holders
@@ -145,7 +147,7 @@
         }
         for (key, replicas) in newest {
             if !self.shard_holders.contains_key(&key) {
-                self.add_holders(key, replicas, work, &mut touched);
+                self.add_holders(key, replicas, context, &mut touched);
             }
         }
         touched
@@ -169,10 +171,10 @@
         &mut self,
         key: ShardKey,
         replicas: &Arc<Vec<LeafId>>,
-        work: &Work<'_>,
+        context: &LayoutUpdate<'_>,
         touched: &mut BTreeSet<LeafId>,
     ) {
-        let holders = work.holders(replicas);
+        let holders = context.holders(replicas);
         for (leaf, count) in &holders {
             touched.insert(*leaf);
             *self.holders.entry(*leaf).or_default() += count;
@@ -181,7 +183,7 @@
     }
 }
 
-/// Shards of the newest map of each service, with their replicas.
+/// The replicas of each shard in the newest partition map of each service.
 fn newest_shards(catalog: &Catalog) -> BTreeMap<ShardKey, &Arc<Vec<LeafId>>> {
     let mut newest = BTreeMap::new();
     for (name, service) in catalog.services() {
@@ -194,16 +196,16 @@
     newest
 }
 
-/// What an update works with.
-struct Work<'work> {
-    catalog: &'work Catalog,
-    moved: &'work BTreeSet<LeafId>,
-    subsetting: &'work Subsetting,
+/// Inputs of one update.
+struct LayoutUpdate<'context> {
+    catalog: &'context Catalog,
+    moved: &'context BTreeSet<LeafId>,
+    subsetting: &'context Subsetting,
     policy: RoutingPolicy,
 }
 
-impl Work<'_> {
-    /// Whether a shard has to be laid out anew.
+impl LayoutUpdate<'_> {
+    /// Whether the route of a shard has to be recomputed.
     fn touches(&self, known: &Arc<Vec<LeafId>>, replicas: &Arc<Vec<LeafId>>) -> bool {
         let same = Arc::ptr_eq(known, replicas) || known == replicas;
         !same || replicas.iter().any(|leaf| self.moved.contains(leaf))
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Brokers that hold each replica of a shard at most.
+    /// Upper bound on the number of brokers that connect to each replica of a shard.
     fn holders(&self, replicas: &[LeafId]) -> Vec<(LeafId, usize)> {
         let placed = self.placed(replicas);
         let by_placement = self.subsetting.holders(&placed);
--- a/crates/domain/src/routing/mod.rs
+++ b/crates/domain/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of a replica for each shard, from this broker's own observations.
+//! Replica selection for each shard, based on the outcomes of this broker's own requests.
 
 mod ejection;
 mod layout;
@@ -21,51 +21,51 @@
 
 pub use table::{Distance, ShardRoute, ShardTable};
 
-/// A farther replica is taken when the nearer one is expected to take this many times as long.
+/// A replica of a farther tier is chosen if the nearer one has at least this multiple of its cost.
 const SPILL_FACTOR: f64 = 3.0;
-/// A replica whose latency exceeds this multiple of its peers' median is left out.
+/// A replica whose latency exceeds this multiple of its tier's median is ejected.
 const OUTLIER_FACTOR: f64 = 4.0;
-/// Latency in seconds that a replica needs besides, so that noise ejects nobody.
+/// Minimum excess over the median in seconds; prevents ejections due to noise at low latencies.
 const OUTLIER_FLOOR: f64 = 0.005;
-/// One replica in this many of a shard may be left out at the same time.
+/// At most one in this many replicas of a shard may be ejected at the same time.
 const EJECTED_SHARE: usize = 2;
-/// Time between comparisons of latencies.
-const COMPARISON_PERIOD: Duration = Duration::from_millis(500);
-/// Weight of the newest latency in the latency common to all leaves.
-const COMMON_SMOOTHING: f64 = 0.01;
-/// Time between searches for leaves that are to be probed.
-const PROBE_ROUND: Duration = Duration::from_millis(500);
-/// Random draws from a tier before it is searched in order.
-const DRAWS: usize = 4;
-
-/// How a leaf request ended, as seen by this broker.
+/// Interval between latency comparisons.
+const COMPARISON_INTERVAL: Duration = Duration::from_millis(500);
+/// Weight of the newest sample in the moving average of latency over all leaves.
+const MEAN_LATENCY_SMOOTHING: f64 = 0.01;
+/// Interval between searches for leaves that are due a probe.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Random draws from a tier before a linear search.
+const RANDOM_DRAWS: usize = 4;
+
+/// Outcome of a leaf request as seen by this broker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// The leaf answered after this time.
+    /// The leaf replied after this time.
     Answered(Duration),
-    /// The leaf refused without running it.
+    /// The leaf refused the request without running it.
     Refused,
-    /// The leaf failed or did not answer in time; this is how long it was waited for.
+    /// The leaf failed or timed out after this time.
     Failed(Duration),
     /// This broker cancelled the request after this time.
     Cancelled(Duration),
 }
 
-/// How replicas are chosen.
+/// Replica selection policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoutingPolicy {
-    /// By own outcomes, near ones first, within this broker's subset.
+    /// By observed cost, nearest tier first, within this broker's subset.
     Measured,
-    /// At random among all that are not draining; the baseline of experiments.
+    /// Uniformly at random among all replicas that are not draining; the baseline of experiments.
     Random,
 }
 
-/// What limits a choice.
+/// Leaves that must not be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Exclusions<'lists> {
-    /// Leaves that were asked already.
+    /// Leaves that an earlier attempt was sent to.
     pub tried: &'lists [LeafId],
-    /// Leaves known not to hold the snapshot.
+    /// Leaves that refused because they do not hold the snapshot.
     pub refused: &'lists [LeafId],
 }
 
@@ -75,61 +75,61 @@
     }
 }
 
-/// Chooses replicas.
+/// Selects replicas and tracks the state of each leaf.
 #[derive(Debug)]
 pub struct Router {
     own: BrokerEntry,
     policy: RoutingPolicy,
     leaves: BTreeMap<LeafId, LeafView>,
-    entries: LeafMap,
+    catalog_leaves: LeafMap,
     subsetting: Subsetting,
     layout: Layout,
-    common_latency: f64,
-    compared: Timestamp,
+    mean_latency: f64,
+    last_comparison: Timestamp,
     ejections: u64,
-    probe_round: Option<Timestamp>,
+    next_probes_at: Option<Timestamp>,
 }
 
 impl Router {
-    /// A router without leaves for the broker `own`.
+    /// Creates a router without leaves for the broker `own`.
     pub fn new(own: BrokerEntry, policy: RoutingPolicy) -> Self {
         Self {
             policy,
             leaves: BTreeMap::new(),
-            entries: LeafMap::default(),
+            catalog_leaves: LeafMap::default(),
             subsetting: Subsetting::new(own.clone(), &[]),
             own,
             layout: Layout::default(),
-            common_latency: 0.001,
-            compared: Timestamp::ZERO,
+            mean_latency: 0.001,
+            last_comparison: Timestamp::ZERO,
             ejections: 0,
-            probe_round: None,
+            next_probes_at: None,
         }
     }
 
-    /// Takes over the leaves of a catalog; observations of those that remain are kept.
+    /// Applies a catalog; observations of leaves that remain are kept.
     pub fn reconfigure(&mut self, now: Timestamp, catalog: &Catalog) {
         let first = self.leaves.is_empty();
-        let changes = LeafChanges::between(&self.entries, catalog.leaves());
+        let changes = LeafChanges::between(&self.catalog_leaves, catalog.leaves());
         for leaf in &changes.removed {
             self.leaves.remove(leaf);
         }
         for id in &changes.changed {
             if let Some(leaf) = catalog.leaves().get(id) {
-                self.take_over(now, leaf, first);
+                self.update_leaf(now, leaf, first);
             }
         }
-        self.entries = catalog.leaves().clone();
+        self.catalog_leaves = catalog.leaves().clone();
         self.evacuate(now, catalog.evacuated());
-        self.lay_out(catalog, &changes.moved);
+        self.update_layout(catalog, &changes.moved);
         if self.policy == RoutingPolicy::Measured {
-            self.probe_round.get_or_insert(now.after(PROBE_ROUND));
+            self.next_probes_at.get_or_insert(now.after(PROBE_INTERVAL));
         }
     }
 
-    /// Takes over a leaf that is new or differs from before.
-    fn take_over(&mut self, now: Timestamp, leaf: &Leaf, first: bool) {
-        let known = self.entries.contains_key(&leaf.id);
+    /// Applies a leaf entry that was added or changed.
+    fn update_leaf(&mut self, now: Timestamp, leaf: &Leaf, first: bool) {
+        let known = self.catalog_leaves.contains_key(&leaf.id);
         let view = self
             .leaves
             .entry(leaf.id)
@@ -137,37 +137,38 @@
         if known && leaf.state == LeafState::Active {
             view.drain.leaf = false;
             view.drain.platform = false;
-            view.cool(now);
+            view.restart_slow_start(now);
         }
         view.drain.operator = leaf.state == LeafState::Draining;
     }
 
-    /// Leaves of evacuated zones get no new work. They may be cold when their zone is restored.
+    /// Stops new work to leaves of evacuated zones. Leaves of a restored zone may be cold, so they
+    /// go through slow start.
     fn evacuate(&mut self, now: Timestamp, evacuated: &BTreeSet<ZoneName>) {
         for (id, view) in &mut self.leaves {
-            let leaf = self.entries.get(id);
-            let is_out = leaf.is_some_and(|leaf| evacuated.contains(&leaf.placement.zone));
-            if view.drain.zone && !is_out {
-                view.cool(now);
+            let leaf = self.catalog_leaves.get(id);
+            let is_evacuated = leaf.is_some_and(|leaf| evacuated.contains(&leaf.placement.zone));
+            if view.drain.zone && !is_evacuated {
+                view.restart_slow_start(now);
             }
-            view.drain.zone = is_out;
+            view.drain.zone = is_evacuated;
         }
     }
 
-    /// When [`Self::due_probes`] is to be asked next.
+    /// When [`Self::due_probes`] is to be called next.
     pub fn next_probe_round(&self) -> Option<Timestamp> {
-        self.probe_round
+        self.next_probes_at
     }
 
-    /// Leaves of this broker's subset that were silent for too long, so that a leaf which gets
-    /// little work is asked all the same whether it is leaving. None before the round is due.
+    /// Leaves of this broker's subset that are due a probe; empty until the next round. Probes tell
+    /// the broker that a leaf is draining even if the leaf gets few requests.
     pub fn due_probes(&mut self, now: Timestamp) -> Vec<LeafId> {
-        if self.probe_round.is_none_or(|due| due > now) {
+        if self.next_probes_at.is_none_or(|due| due > now) {
             return Vec::new();
         }
-        self.probe_round = Some(now.after(PROBE_ROUND));
+        self.next_probes_at = Some(now.after(PROBE_INTERVAL));
         let mut due = Vec::new();
-        for leaf in self.layout.held() {
+        for leaf in self.layout.preferred_leaves() {
             if let Some(view) = self.leaves.get_mut(leaf).filter(|view| view.wants_probe(now)) {
                 view.probe_sent(now);
                 due.push(*leaf);
@@ -176,33 +177,34 @@
         due
     }
 
-    /// The leaf answered a probe with its mark.
+    /// Records the reply to a probe and its drain flag.
     pub fn probe_answered(&mut self, now: Timestamp, leaf: LeafId, draining: bool) {
         if let Some(view) = self.leaves.get_mut(&leaf) {
             view.probe_answered(now, draining);
         }
     }
 
-    /// Takes over the list of brokers that share the leaves.
+    /// Applies the list of brokers that share the leaves and recomputes all routes.
     pub fn update_brokers(&mut self, brokers: Arc<[BrokerEntry]>, catalog: &Catalog) {
         self.subsetting = Subsetting::new(self.own.clone(), &brokers);
         self.layout = Layout::default();
-        let all = self.entries.keys().copied().collect();
-        self.lay_out(catalog, &all);
+        let all = self.catalog_leaves.keys().copied().collect();
+        self.update_layout(catalog, &all);
     }
 
-    /// The platform's list of leaving machines, whole; it lags, so it only adds to the others.
+    /// Applies the platform's complete list of leaving machines. The list lags, so it never clears
+    /// a drain flag of another source.
     pub fn set_platform_draining(&mut self, now: Timestamp, leaving: &[LeafId]) {
         for (id, view) in &mut self.leaves {
             let listed = leaving.contains(id);
             if view.drain.platform && !listed {
-                view.cool(now);
+                view.restart_slow_start(now);
             }
             view.drain.platform = listed;
         }
     }
 
-    /// The routes of a service's shards at an epoch.
+    /// The routes of a service's shards at a partition epoch.
     pub fn table(&self, service: &ServiceName, epoch: PartitionEpoch) -> Option<Arc<ShardTable>> {
         self.layout.table(service, epoch).cloned()
     }
@@ -212,8 +214,8 @@
         self.leaves.get(&leaf).map_or(0, |view| view.connection_limit)
     }
 
-    /// Chooses a replica, or none when no replica takes work. Replicas that are left out, were
-    /// silent for too long or are outside the subset are asked only when there is no other.
+    /// Chooses a replica, or `None` if no replica takes new work. Replicas that are ejected, have a
+    /// stale drain state or are outside the subset are chosen only if there is no other.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -231,7 +233,7 @@
                 && self
                     .leaves
                     .get(&leaf)
-                    .is_some_and(|view| view.takes_new_work() && !view.ejection.is_out(now))
+                    .is_some_and(|view| view.takes_new_work() && !view.ejection.is_ejected(now))
         };
         let current = |leaf: LeafId| in_service(leaf) && self.is_current(now, leaf);
         self.best_tier(now, &route.tiers, current, random)
@@ -249,29 +251,29 @@
         self.leaves.get(&leaf).is_some_and(LeafView::takes_new_work)
     }
 
-    /// Whether the leaf said lately whether it is leaving.
+    /// Whether the leaf's drain state was refreshed recently.
     pub fn is_current(&self, now: Timestamp, leaf: LeafId) -> bool {
         self.leaves.get(&leaf).is_some_and(|view| view.is_current(now))
     }
 
-    /// Whether the leaf is left out for doing badly.
+    /// Whether the leaf is ejected as an outlier.
     pub fn is_ejected(&self, now: Timestamp, leaf: LeafId) -> bool {
-        self.leaves.get(&leaf).is_some_and(|view| view.ejection.is_out(now))
+        self.leaves.get(&leaf).is_some_and(|view| view.ejection.is_ejected(now))
     }
 
-    /// How often a replica was left out so far.
+    /// Total number of ejections.
     pub fn ejections(&self) -> u64 {
         self.ejections
     }
 
-    /// A request was sent to the leaf.
+    /// Records that a request was sent to the leaf.
     pub fn sent(&mut self, leaf: LeafId) {
         if let Some(view) = self.leaves.get_mut(&leaf) {
             view.in_flight += 1;
         }
     }
 
-    /// A request to the leaf ended.
+    /// Records the outcome of a request to the leaf.
     pub fn ended(&mut self, now: Timestamp, leaf: LeafId, observation: Observation) {
         let Some(view) = self.leaves.get_mut(&leaf) else {
             return;
@@ -281,8 +283,8 @@
         match observation {
             Observation::Answered(latency) => {
                 view.ejection.answered();
-                self.common_latency +=
-                    COMMON_SMOOTHING * (latency.as_secs_f64() - self.common_latency);
+                self.mean_latency +=
+                    MEAN_LATENCY_SMOOTHING * (latency.as_secs_f64() - self.mean_latency);
             }
             Observation::Failed(_) => {
                 if view.ejection.failed() {
@@ -291,42 +293,43 @@
             }
             Observation::Refused | Observation::Cancelled(_) => {}
         }
-        if now.since(self.compared) >= COMPARISON_PERIOD {
-            self.compared = now;
+        if now.since(self.last_comparison) >= COMPARISON_INTERVAL {
+            self.last_comparison = now;
             self.eject_slow(now);
         }
     }
 
-    /// The leaf said on the reply to a request sent at `sent` whether it is leaving.
+    /// Applies the drain flag of a reply to a request that was sent at `sent`.
     pub fn mark_draining(&mut self, now: Timestamp, leaf: LeafId, sent: Timestamp, draining: bool) {
         if let Some(view) = self.leaves.get_mut(&leaf) {
-            view.mark(now, sent, draining);
+            view.apply_drain_flag(now, sent, draining);
         }
     }
 
-    /// Lays out what a change of the catalog touches.
-    fn lay_out(&mut self, catalog: &Catalog, moved: &BTreeSet<LeafId>) {
+    /// Updates the routes and connection limits that a change of the catalog affects.
+    fn update_layout(&mut self, catalog: &Catalog, moved: &BTreeSet<LeafId>) {
         let mut touched = self.layout.update(catalog, moved, &self.subsetting, self.policy);
         touched.extend(moved);
         for leaf in touched {
-            self.limit_connections(leaf);
+            self.update_connection_limit(leaf);
         }
     }
 
-    /// Divides a leaf's connection limit by the brokers that hold it, over all its shards in the
-    /// newest map of each service.
-    fn limit_connections(&mut self, leaf: LeafId) {
+    /// Divides a leaf's connection limit by the number of brokers that connect to it, summed over
+    /// its shards in the newest map of each service.
+    fn update_connection_limit(&mut self, leaf: LeafId) {
         let Some(view) = self.leaves.get_mut(&leaf) else {
             return;
         };
-        let limit = self.entries.get(&leaf).map_or(1, |entry| entry.connection_limit as usize);
+        let limit =
+            self.catalog_leaves.get(&leaf).map_or(1, |entry| entry.connection_limit as usize);
         let alone = self.subsetting.uses_all_replicas();
         let holders = if alone { 1 } else { self.layout.holders(leaf).unwrap_or(1) };
         view.connection_limit = (limit / holders.max(1)).max(1);
     }
 
-    /// The better of two random replicas of the nearest tier that has any, unless one of a
-    /// farther tier is expected to be [`SPILL_FACTOR`] times faster.
+    /// Power of two choices in each tier; takes the nearest tier's replica unless one of a farther
+    /// tier costs less by more than [`SPILL_FACTOR`].
     fn best_tier(
         &self,
         now: Timestamp,
@@ -364,10 +367,10 @@
     }
 
     fn cost(&self, now: Timestamp, leaf: LeafId) -> f64 {
-        self.leaves.get(&leaf).map_or(f64::INFINITY, |view| view.cost(now, self.common_latency))
+        self.leaves.get(&leaf).map_or(f64::INFINITY, |view| view.cost(now, self.mean_latency))
     }
 
-    /// Leaves out replicas that answer far more slowly than the others of their shard.
+    /// Ejects replicas whose latency is far above the median of their tier.
     fn eject_slow(&mut self, now: Timestamp) {
         let mut slow = Vec::new();
         for route in self.layout.routes() {
@@ -399,7 +402,7 @@
         }
     }
 
-    /// Leaves a replica out, unless too many of one of its shards would be out.
+    /// Ejects a replica unless one of its shards has reached its limit of ejected replicas.
     fn eject(&mut self, now: Timestamp, leaf: LeafId) {
         let allowed = self.policy == RoutingPolicy::Measured
             && self
@@ -422,7 +425,7 @@
     }
 }
 
-/// Draws a usable leaf at random: a few draws, then a search from a random start.
+/// Picks a usable leaf at random: [`RANDOM_DRAWS`] draws, then a linear search from a random start.
 fn draw(
     leaves: &[LeafId],
     usable: impl Fn(LeafId) -> bool,
@@ -431,7 +434,7 @@
     if leaves.is_empty() {
         return None;
     }
-    for _ in 0..DRAWS {
+    for _ in 0..RANDOM_DRAWS {
         let leaf = leaves[below(leaves.len(), random)];
         if usable(leaf) {
             return Some(leaf);
@@ -441,7 +444,7 @@
     leaves[start..].iter().chain(&leaves[..start]).copied().find(|leaf| usable(*leaf))
 }
 
-/// A random number below `bound`, by multiplication rather than division.
+/// A random number below `bound`, by multiply-and-shift to avoid a division.
 fn below(bound: usize, random: &mut dyn RngCore) -> usize {
     ((u64::from(random.next_u32()) * bound as u64) >> 32) as usize
 }
--- a/crates/domain/src/routing/subset.rs
+++ b/crates/domain/src/routing/subset.rs
@@ -1,10 +1,10 @@
-//! Which replicas of each shard one broker connects to.
+//! Subsetting: which replicas of each shard one broker connects to.
 //!
-//! Deterministic aperture: the brokers of a group and the replicas of a group are laid evenly
-//! round a ring, each in the order of a hash, and a broker takes the replicas whose arcs its own
-//! window meets. Windows of equal width that tile the ring meet each arc equally often, so the
-//! load is balanced to one broker per group; a change of 1 % in either list shifts the rest by a
-//! fraction of an arc, so little moves. The ways weighed are in `docs/design/subsetting.md`.
+//! Deterministic aperture: the brokers and the replicas of a group are spaced evenly around a ring,
+//! each ordered by hash, and a broker connects to the replicas whose arcs its own window overlaps.
+//! Windows of equal width that tile the ring overlap each arc equally often, so the load is
+//! balanced to within one broker per group. A change of 1 % in either list shifts the rest by a
+//! fraction of an arc, so few connections move. Alternatives: `docs/design/subsetting.md`.
 
 use std::collections::BTreeMap;
 
@@ -15,39 +15,39 @@
 use crate::identifiers::{BrokerName, LeafId, ShardId};
 use crate::routing::table::{Distance, ShardRoute};
 
-/// Replicas of a shard that one broker connects to, when there are more.
+/// Subset size while leaves' connection limits allow it.
 const PREFERRED_SUBSET: usize = 10;
-/// Smallest subset: a hedge needs a second replica.
+/// Minimum subset size: a hedge needs a second replica.
 const MINIMUM_SUBSET: usize = 2;
-/// Share of a leaf's connection limit that the brokers' subsets may plan for.
+/// Fraction of a leaf's connection limit that subset sizes may use.
 const CONNECTION_SHARE: f64 = 0.9;
 
-/// A broker as others see it.
+/// Identity of a broker as known to other processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokerEntry {
-    /// Its name.
+    /// Unique name within the cluster.
     pub name: BrokerName,
-    /// Its place.
+    /// Region and zone in which it runs.
     pub placement: Placement,
 }
 
-/// Lays out shards for one broker among all.
+/// Computes the subsets of one broker among all brokers.
 #[derive(Debug, Clone)]
 pub struct Subsetting {
     own: BrokerEntry,
     brokers: Vec<BrokerEntry>,
-    uses_all: bool,
+    has_no_peers: bool,
 }
 
-/// Replicas to take from each distance.
+/// Number of replicas to take at each distance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Quota {
+struct SubsetQuota {
     zone: usize,
     region: usize,
     elsewhere: usize,
 }
 
-/// A broker's position among the brokers that share a ring.
+/// A broker's rank among the brokers that share a ring.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     rank: usize,
@@ -55,10 +55,10 @@
 }
 
 impl Subsetting {
-    /// Subsetting among `brokers`. While that list is empty, the broker knows only itself and
-    /// uses every replica.
+    /// Creates the subsetting among `brokers`. While that list is empty, the broker knows only
+    /// itself and uses every replica.
     pub fn new(own: BrokerEntry, brokers: &[BrokerEntry]) -> Self {
-        let uses_all = brokers.is_empty();
+        let has_no_peers = brokers.is_empty();
         let mut brokers = brokers.to_vec();
         if !brokers.iter().any(|broker| broker.name == own.name) {
             brokers.push(own.clone());
@@ -66,15 +66,15 @@
         brokers
             .sort_by_key(|broker| (hash(broker.name.as_str().as_bytes(), 0), broker.name.clone()));
         brokers.dedup_by(|one, other| one.name == other.name);
-        Self { own, brokers, uses_all }
+        Self { own, brokers, has_no_peers }
     }
 
-    /// Whether no other broker is known, so that every replica is used.
+    /// Whether every replica is used because no other broker is known.
     pub fn uses_all_replicas(&self) -> bool {
-        self.uses_all
+        self.has_no_peers
     }
 
-    /// The route of one shard.
+    /// Computes the route of one shard: the subset as tiers, and the other replicas as spares.
     pub fn route(&self, shard: ShardId, replicas: Vec<&Leaf>) -> ShardRoute {
         let mut groups: [Vec<&Leaf>; 3] = Default::default();
         for leaf in &replicas {
@@ -96,13 +96,14 @@
         ShardRoute { shard, tiers, spare }
     }
 
-    /// Brokers that hold a replica of a shard at most, by the place of the replica.
+    /// Upper bound on the number of brokers that connect to a replica of a shard, by the placement
+    /// of the replica; empty if every replica is used.
     pub fn holders(&self, replicas: &[&Leaf]) -> BTreeMap<Placement, usize> {
         let mut holders = BTreeMap::new();
-        if self.uses_all {
+        if self.has_no_peers {
             return holders;
         }
-        let groups = by_placement(replicas);
+        let groups = count_by_placement(replicas);
         for (viewpoint, brokers) in self.broker_counts() {
             let sizes = group_sizes(&groups, &viewpoint);
             let quota = Self::quota(self.subset_size(replicas), sizes);
@@ -124,18 +125,18 @@
         counts
     }
 
-    fn quota(size: usize, available: [usize; 3]) -> Quota {
+    fn quota(size: usize, available: [usize; 3]) -> SubsetQuota {
         let elsewhere = (size / 8).min(available[2]);
         let region = (size / 4).min(available[1]);
         let zone = (size - elsewhere - region).min(available[0]);
         let region = (size - elsewhere - zone).min(available[1]);
         let elsewhere = (size - zone - region).min(available[2]);
-        Quota { zone, region, elsewhere }
+        SubsetQuota { zone, region, elsewhere }
     }
 
-    /// Replicas of a shard to connect to, so that its leaves stay within their limits.
+    /// Size of the subset of a shard, such that its leaves stay within their connection limits.
     fn subset_size(&self, replicas: &[&Leaf]) -> usize {
-        if self.uses_all || replicas.len() <= MINIMUM_SUBSET {
+        if self.has_no_peers || replicas.len() <= MINIMUM_SUBSET {
             return replicas.len();
         }
         let limit = replicas.iter().map(|leaf| leaf.connection_limit).min().unwrap_or(1);
@@ -144,7 +145,7 @@
         affordable.clamp(MINIMUM_SUBSET, PREFERRED_SUBSET).min(replicas.len())
     }
 
-    /// Splits a group into what this broker's window meets and the rest.
+    /// Splits a group into the replicas that this broker's window overlaps and the rest.
     fn window(
         &self,
         shard: ShardId,
@@ -171,8 +172,8 @@
         (taken, spare)
     }
 
-    /// Rank of this broker among those that share its view of a group: its zone for near
-    /// groups, its region for the far one.
+    /// Rank of this broker among those that see the same group: the brokers of its zone for
+    /// replicas in its region, and the brokers of its region for replicas elsewhere.
     fn position(&self, distance: Distance) -> Position {
         let shares_ring = |broker: &&BrokerEntry| match distance {
             Distance::Zone | Distance::Region => broker.placement == self.own.placement,
@@ -184,14 +185,14 @@
     }
 }
 
-impl Quota {
+impl SubsetQuota {
     fn by_distance(self) -> [usize; 3] {
         [self.zone, self.region, self.elsewhere]
     }
 }
 
-/// Number of replicas at each place.
-fn by_placement(replicas: &[&Leaf]) -> BTreeMap<Placement, usize> {
+/// Number of replicas at each placement.
+fn count_by_placement(replicas: &[&Leaf]) -> BTreeMap<Placement, usize> {
     let mut counts = BTreeMap::new();
     for leaf in replicas {
         *counts.entry(leaf.placement.clone()).or_default() += 1;
@@ -199,7 +200,7 @@
     counts
 }
 
-/// Number of replicas at each distance from a place.
+/// Number of replicas at each distance from a placement.
 fn group_sizes(groups: &BTreeMap<Placement, usize>, viewpoint: &Placement) -> [usize; 3] {
     let mut sizes = [0; 3];
     for (placement, count) in groups {
@@ -208,7 +209,7 @@
     sizes
 }
 
-/// The replica at which a broker's window starts.
+/// Index of the first replica in a broker's window.
 fn ring_start(position: Position, leaves: usize) -> usize {
     (position.rank * leaves / position.count) % leaves
 }
--- a/crates/domain/src/routing/table.rs
+++ b/crates/domain/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! The replicas of each shard as one broker sees them: nearest first, and its own subset.
+//! Routing tables: the replicas of each shard, ordered by distance from one broker.
 
 use crate::catalog::{Leaf, Placement};
 use crate::identifiers::{LeafId, PartitionEpoch, ShardId};
@@ -15,7 +15,7 @@
 }
 
 impl Distance {
-    /// The distance between two places.
+    /// The distance between two placements.
     pub fn between(one: &Placement, other: &Placement) -> Self {
         if one.region != other.region {
             return Self::Elsewhere;
@@ -24,35 +24,35 @@
     }
 }
 
-/// The replicas of one shard.
+/// The replicas of one shard in order of preference.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardRoute {
-    /// The shard.
+    /// Shard number within the partition map.
     pub shard: ShardId,
-    /// Replicas that this broker prefers, in tiers from near to far; no tier is empty.
+    /// The broker's subset, in tiers from near to far; no tier is empty.
     pub tiers: Vec<Vec<LeafId>>,
-    /// Replicas that are asked only when none of the tiers takes work.
+    /// Replicas outside the subset, used only if no replica of the tiers takes new work.
     pub spare: Vec<LeafId>,
 }
 
 impl ShardRoute {
-    /// All replicas in one tier, without regard to distance or subset.
+    /// A route with all replicas in one tier, regardless of distance and subset.
     pub fn flat(shard: ShardId, replicas: &[&Leaf]) -> Self {
         let tier = replicas.iter().map(|leaf| leaf.id).collect();
         Self { shard, tiers: vec![tier], spare: Vec::new() }
     }
 
-    /// All replicas, nearest first, then the spare ones.
+    /// All replicas: the tiers from near to far, then the spares.
     pub fn replicas(&self) -> impl Iterator<Item = LeafId> + '_ {
         self.tiers.iter().flatten().chain(&self.spare).copied()
     }
 }
 
-/// The routes of all shards of one partition map, by shard.
+/// The routes of all shards of one partition map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardTable {
-    /// Epoch of the partition map.
+    /// Epoch of the partition map that the routes were computed from.
     pub epoch: PartitionEpoch,
-    /// A route for each shard, by shard number.
+    /// One route for each shard, sorted by shard number.
     pub shards: Vec<ShardRoute>,
 }
