--- a/crates/domain/src/directory/former.rs
+++ b/crates/domain/src/directory/former.rs
@@ -1,4 +1,4 @@
-//! The list of leaves as releases laid it out that knew no versions of their software.
+//! Layout of the leaf list in releases without software versions, for decoding their documents.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
     cold_ms: u64,
 }
 
-/// All leaves that are known.
+/// [`LeafDirectory`] in the former layout.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormerLeafDirectory {
     version: DirectoryVersion,
     leaves: BTreeMap<LeafIdentity, FormerListedLeaf>,
 }
 
-/// What takes a list of one version to the next.
+/// [`DirectoryDelta`] in the former layout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormerDirectoryDelta {
     base: DirectoryVersion,
--- a/crates/domain/src/directory/mod.rs
+++ b/crates/domain/src/directory/mod.rs
@@ -1,8 +1,8 @@
-//! The list of leaves, as an outside directory gives it.
+//! The list of leaves, as read from an external directory.
 //!
-//! A leaf is told apart by its identity, never by its address: addresses are given to other
-//! leaves soon after one has ended. Its start is a part of its identity: one that starts again under
-//! its name knows nothing of before. The list is replicated as deltas.
+//! A leaf is identified by its identity, never by its address: the platform soon assigns the
+//! address of a terminated leaf to another one. The identity includes the start time, since a
+//! restarted leaf keeps its name but none of its state. The list is replicated as deltas.
 
 mod former;
 mod reading;
@@ -14,109 +14,110 @@
 
 use serde::{Deserialize, Serialize};
 
-use self::shared_names::SharedNames;
+use self::shared_names::NameInterner;
 use crate::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
 
 pub use former::{FormerDirectoryDelta, FormerLeafDirectory};
 pub use reading::{DirectoryReading, EntryFault, HOLD_PERIOD, HeldLeaves, RejectedEntry};
 pub use start::LeafStart;
 
-/// Version of the list within a cluster; grows with each delta.
+/// Version of the list within a cluster; incremented by each delta.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DirectoryVersion(pub u64);
 
 /// Whether a leaf takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeafAvailability {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is leaving: it finishes what it has.
+    /// Draining: finishes requests in flight and accepts no new ones.
     Leaving,
 }
 
-/// One leaf.
+/// One entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedLeaf {
-    /// Which run of which leaf it is.
+    /// Name and start time of the leaf.
     pub identity: LeafIdentity,
-    /// The service that it belongs to.
+    /// The service that the leaf belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address at which the leaf accepts requests.
     pub address: SocketAddr,
-    /// Zone in which it runs.
+    /// Zone in which the leaf runs.
     pub zone: ZoneName,
-    /// Requests that it works on at once.
+    /// Number of requests that the leaf processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the leaf accepts new requests.
     pub availability: LeafAvailability,
-    /// How long it stays cold from when this entry was made, in milliseconds; 0 when it is warm.
+    /// Remaining warm-up time when this entry was made, in milliseconds; 0 for a warm leaf.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Version of the software that it runs; empty where the list does not tell.
+    /// Version of the leaf's software; empty if the external directory does not provide it.
     #[serde(default)]
     pub version: SoftwareVersion,
 }
 
 impl ListedLeaf {
-    /// Whether `newer` says something else of the leaf. A leaf that stays cold for less long than it
-    /// was to is no news: the time has passed.
+    /// Whether `newer` has to be replicated. A shorter remaining warm-up time alone is no change,
+    /// since time has passed; only a longer one or the end of the warm-up is.
     fn differs_from(&self, newer: &Self) -> bool {
-        let cools = newer.cold_ms > self.cold_ms || (newer.cold_ms == 0) != (self.cold_ms == 0);
-        let same_but_cold = Self { cold_ms: newer.cold_ms, ..self.clone() } == *newer;
-        cools || !same_but_cold
+        let turns_cold_or_warm =
+            newer.cold_ms > self.cold_ms || (newer.cold_ms == 0) != (self.cold_ms == 0);
+        let equal_except_cold_ms = Self { cold_ms: newer.cold_ms, ..self.clone() } == *newer;
+        turns_cold_or_warm || !equal_except_cold_ms
     }
 }
 
-/// All leaves that are known.
+/// All listed leaves at one version of the list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeafDirectory {
     version: DirectoryVersion,
     leaves: BTreeMap<LeafIdentity, ListedLeaf>,
 }
 
-/// What takes a list of one version to the next.
+/// The difference between two consecutive versions of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
-    /// The version that it builds on.
+    /// The version that the delta applies to.
     pub base: DirectoryVersion,
-    /// Leaves that are new or changed.
+    /// Entries that were added or changed.
     pub changed: Vec<ListedLeaf>,
-    /// Leaves that are gone.
+    /// Identities of the leaves that are no longer listed.
     pub gone: Vec<LeafIdentity>,
 }
 
 impl DirectoryDelta {
-    /// Holds each name once that many leaves share.
+    /// Interns service, zone and version names, so that equal names share memory.
     pub fn intern_names(&mut self) {
-        let mut names = SharedNames::default();
-        self.changed.iter_mut().for_each(|leaf| names.share(leaf));
+        let mut names = NameInterner::default();
+        self.changed.iter_mut().for_each(|leaf| names.intern(leaf));
     }
 }
 
 impl LeafDirectory {
-    /// Holds each name once that many leaves share.
+    /// Interns service, zone and version names, so that equal names share memory.
     pub fn intern_names(&mut self) {
-        let mut names = SharedNames::default();
-        self.leaves.values_mut().for_each(|leaf| names.share(leaf));
+        let mut names = NameInterner::default();
+        self.leaves.values_mut().for_each(|leaf| names.intern(leaf));
     }
 
-    /// The version of the list; 0 when none was ever given.
+    /// The version of the list; 0 before the first delta.
     pub fn version(&self) -> DirectoryVersion {
         self.version
     }
 
-    /// The leaves by identity.
+    /// The entries by identity.
     pub fn leaves(&self) -> &BTreeMap<LeafIdentity, ListedLeaf> {
         &self.leaves
     }
 
-    /// What takes this list to `listed`; none when they are the same. The very first list is a
-    /// delta even when it is empty.
+    /// The delta from this list to `listed`, or `None` if nothing changed. The first list is always
+    /// a delta, even if it is empty.
     pub fn delta_to(&self, listed: &[ListedLeaf]) -> Option<DirectoryDelta> {
-        let news = |leaf: &&ListedLeaf| {
+        let has_changed = |leaf: &&ListedLeaf| {
             self.leaves.get(&leaf.identity).is_none_or(|known| known.differs_from(leaf))
         };
-        let changed: Vec<ListedLeaf> = listed.iter().filter(news).cloned().collect();
+        let changed: Vec<ListedLeaf> = listed.iter().filter(has_changed).cloned().collect();
         let present: BTreeSet<&LeafIdentity> = listed.iter().map(|leaf| &leaf.identity).collect();
         let gone = self.leaves.keys().filter(|identity| !present.contains(identity));
         let gone: Vec<LeafIdentity> = gone.cloned().collect();
@@ -127,7 +128,7 @@
         Some(DirectoryDelta { base: self.version, changed, gone })
     }
 
-    /// Takes a delta over; false, without effect, when it builds on another version.
+    /// Applies a delta. Returns `false`, without effect, if the delta applies to another version.
     pub fn apply(&mut self, delta: &DirectoryDelta) -> bool {
         if delta.base != self.version {
             return false;
--- a/crates/domain/src/directory/reading.rs
+++ b/crates/domain/src/directory/reading.rs
@@ -1,9 +1,10 @@
-//! One reading of the outside list of leaves, whose entries others may write, too.
+//! One reading of the external leaf directory, whose entries may come from other writers.
 //!
-//! An entry that names no usable leaf is left out, and the others hold. What is left out has not ended: a leaf that
-//! was known, and may be the one whose entry cannot be used, stays as it was for a while. So does a leaf of which an
-//! earlier start is listed: lists lag. Where the earlier start stays listed, the clock of the leaf's machine was set
-//! back between the two.
+//! An unusable entry is rejected and the others are used. A rejected entry does not mean that its
+//! leaf has terminated: a known leaf that may be the one of the rejected entry keeps its last known
+//! state for [`HOLD_PERIOD`]. The same holds for a leaf that is listed with an earlier start time,
+//! because the directory lags. If the earlier start time stays listed, the clock of the leaf's
+//! machine was set back between the two starts.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,47 +14,47 @@
 use crate::identifiers::LeafIdentity;
 use crate::time::Timestamp;
 
-/// How long a leaf stays listed as it is known while its entry cannot be used, or tells of an earlier start. Lists
-/// go on naming leaves that have ended for some seconds, so that brokers bear a leaf that is listed too long; one that
-/// is dropped too early serves nobody.
+/// How long a leaf keeps its last known state while its entry is unusable or has an earlier start
+/// time. Brokers tolerate a leaf that is listed too long, since directories list terminated leaves
+/// for some seconds anyway; a leaf that is removed too early gets no requests.
 pub const HOLD_PERIOD: Duration = Duration::from_secs(10);
 
-/// Why an entry was left out.
+/// Why an entry was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EntryFault {
-    /// It is no document, or has bytes that are no text.
+    /// The entry is not a valid document or not valid text.
     Unreadable,
-    /// A field is missing, or has a value of another kind.
+    /// A field is missing or has a value of the wrong type.
     Malformed,
-    /// It names a state that is not known.
+    /// The state of the leaf is not a known one.
     UnknownState,
-    /// Another entry of the reading says something else of the same leaf.
+    /// Another entry of the reading has the same identity but other contents.
     Contradicted,
 }
 
-/// An entry that names no usable leaf.
+/// An entry that was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RejectedEntry {
-    /// The leaf that it names; none where that cannot be read.
+    /// Identity in the entry, if it could be read.
     pub leaf: Option<LeafIdentity>,
-    /// Why it is left out.
+    /// Why the entry was rejected.
     pub fault: EntryFault,
 }
 
-/// All entries of the list, as they were read.
+/// All entries of one reading.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DirectoryReading {
-    /// The newest start of each leaf, by name.
+    /// The entry with the latest start time of each leaf, by name.
     leaves: BTreeMap<String, ListedLeaf>,
     rejected: Vec<RejectedEntry>,
-    /// The names of the leaves that they name.
+    /// Names of the leaves in rejected entries.
     rejected_names: BTreeSet<String>,
 }
 
 impl DirectoryReading {
-    /// Adds an entry. Pages are read one after another, so that a leaf may come twice; where its state has changed in
-    /// between, the later one holds. Of two starts the later one holds. Entries that tell of different leaves under one
-    /// identity are all left out.
+    /// Adds an entry. Pages are read one after another, so a leaf may occur twice: the entry with
+    /// the later start time wins, and of two entries with the same start time the one read last.
+    /// Entries with the same identity but another address, service or zone are all rejected.
     pub fn add(&mut self, entry: ListedLeaf) {
         let name = entry.identity.name().to_owned();
         if self.rejected_names.contains(&name) {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Adds an entry that names no usable leaf. One that names a leaf which was read contradicts it.
+    /// Adds a rejected entry. A usable entry of the same name is discarded, since the two
+    /// contradict each other.
     pub fn reject(&mut self, entry: RejectedEntry) {
         if let Some(leaf) = &entry.leaf {
             self.leaves.remove(leaf.name());
@@ -85,17 +87,17 @@
         self.rejected.push(entry);
     }
 
-    /// The leaves that may be used, by name.
+    /// The usable entries, by name of the leaf.
     pub fn leaves(&self) -> &BTreeMap<String, ListedLeaf> {
         &self.leaves
     }
 
-    /// What was left out, in the order of the list.
+    /// The rejected entries, in the order of the directory.
     pub fn rejected(&self) -> &[RejectedEntry] {
         &self.rejected
     }
 
-    /// How many entries were left out, by fault.
+    /// Number of rejected entries by fault.
     pub fn faults(&self) -> BTreeMap<EntryFault, usize> {
         let mut faults = BTreeMap::new();
         for entry in &self.rejected {
@@ -104,41 +106,43 @@
         faults
     }
 
-    /// How many of them name no leaf.
-    fn nameless(&self) -> usize {
+    /// Number of rejected entries without a readable identity.
+    fn unidentified(&self) -> usize {
         self.rejected.iter().filter(|entry| entry.leaf.is_none()).count()
     }
 }
 
-/// Leaves that are listed as they are known, though the list does not tell of them so: their entries may be among those
-/// that were left out, or an earlier start of them is listed.
+/// Known leaves that keep their last known state although the latest reading does not contain it:
+/// their entries may be among the rejected ones, or are listed with an earlier start time.
 #[derive(Debug, Default)]
 pub struct HeldLeaves {
-    /// Since when each is held.
+    /// Time from which each leaf is held.
     held: BTreeMap<LeafIdentity, Timestamp>,
-    /// Entries of the last reading that named no leaf.
-    nameless: usize,
+    /// Number of rejected entries without identity in the last reading.
+    unidentified: usize,
 }
 
 impl HeldLeaves {
-    /// The leaves that are listed now: those of the reading, and those known that are held. A known leaf that is
-    /// missing is held when an entry that was left out names it, or when more entries than before name none.
+    /// The leaves to list: those of the reading and those that are held. A known leaf that is
+    /// missing from the reading is held if a rejected entry has its name, or if the reading has
+    /// more rejected entries without identity than the last one.
     pub fn listed(
         &mut self,
         now: Timestamp,
         known: &LeafDirectory,
         mut reading: DirectoryReading,
     ) -> Vec<ListedLeaf> {
-        let nameless = reading.nameless();
-        let more_nameless = nameless > self.nameless;
-        self.nameless = nameless;
+        let unidentified = reading.unidentified();
+        let more_unidentified = unidentified > self.unidentified;
+        self.unidentified = unidentified;
         let before = std::mem::take(&mut self.held);
         for (identity, leaf) in known.leaves() {
             let since = before.get(identity).copied();
-            let may_be_nameless = if since.is_some() { nameless > 0 } else { more_nameless };
+            let may_be_unidentified =
+                if since.is_some() { unidentified > 0 } else { more_unidentified };
             let is_held = match reading.leaves.get(identity.name()) {
                 Some(entry) => entry.identity.start() < identity.start(),
-                None => may_be_nameless || reading.rejected_names.contains(identity.name()),
+                None => may_be_unidentified || reading.rejected_names.contains(identity.name()),
             };
             if !is_held {
                 continue;
@@ -152,7 +156,7 @@
         reading.leaves.into_values().collect()
     }
 
-    /// How many leaves are held.
+    /// Number of held leaves.
     pub fn count(&self) -> usize {
         self.held.len()
     }
--- a/crates/domain/src/directory/shared_names.rs
+++ b/crates/domain/src/directory/shared_names.rs
@@ -1,28 +1,29 @@
-//! Names that many leaves share, held once.
+//! Interning of names that many leaves share.
 
 use std::collections::BTreeSet;
 
 use super::ListedLeaf;
 use crate::identifiers::{ServiceName, SoftwareVersion, ZoneName};
 
-/// The names seen so far. A list that was read from bytes has a copy of each name for each of thousands of leaves.
+/// The distinct names seen so far. A decoded list has its own copy of each name for each of
+/// thousands of leaves.
 #[derive(Default)]
-pub(super) struct SharedNames {
+pub(super) struct NameInterner {
     services: BTreeSet<ServiceName>,
     zones: BTreeSet<ZoneName>,
     versions: BTreeSet<SoftwareVersion>,
 }
 
-impl SharedNames {
-    /// Replaces the names of a leaf by those that were seen before, where they are equal.
-    pub(super) fn share(&mut self, leaf: &mut ListedLeaf) {
-        leaf.service = shared(&mut self.services, &leaf.service);
-        leaf.zone = shared(&mut self.zones, &leaf.zone);
-        leaf.version = shared(&mut self.versions, &leaf.version);
+impl NameInterner {
+    /// Replaces the names of a leaf by equal ones that were seen before.
+    pub(super) fn intern(&mut self, leaf: &mut ListedLeaf) {
+        leaf.service = interned(&mut self.services, &leaf.service);
+        leaf.zone = interned(&mut self.zones, &leaf.zone);
+        leaf.version = interned(&mut self.versions, &leaf.version);
     }
 }
 
-fn shared<Name: Clone + Ord>(known: &mut BTreeSet<Name>, name: &Name) -> Name {
+fn interned<Name: Clone + Ord>(known: &mut BTreeSet<Name>, name: &Name) -> Name {
     if let Some(same) = known.get(name) {
         return same.clone();
     }
--- a/crates/domain/src/directory/start.rs
+++ b/crates/domain/src/directory/start.rs
@@ -1,17 +1,18 @@
-//! When a leaf started, as a part of its identity.
+//! The start time of a leaf as part of its identity.
 
 use crate::identifiers::LeafIdentity;
 
-/// Stands between the name of a leaf and its start. A name that holds it is followed by another one, so that no name
-/// is taken for one with a start.
+/// Separates the name of a leaf from its start time. A name that contains the separator and has no
+/// start time gets a trailing separator, so that no part of the name is taken for a start time.
 const SEPARATOR: char = '@';
 
-/// When a leaf started, by the clock of its machine: milliseconds since 1970.
+/// Start time of a leaf by the clock of its machine, in milliseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeafStart(pub u64);
 
 impl LeafIdentity {
-    /// The identity of the run of a leaf that began at `start`, or of a leaf that does not tell its start.
+    /// The identity of a leaf that started at `start`, or of one that does not report its start
+    /// time.
     pub fn of_run(name: &str, start: Option<LeafStart>) -> Self {
         match start {
             Some(LeafStart(start)) => Self::new(format!("{name}{SEPARATOR}{start}")),
@@ -20,12 +21,12 @@
         }
     }
 
-    /// The name that the leaf goes by, whenever it started.
+    /// The name of the leaf without its start time; stable across restarts.
     pub fn name(&self) -> &str {
         self.as_str().rsplit_once(SEPARATOR).map_or(self.as_str(), |(name, _)| name)
     }
 
-    /// When this run began; none where the leaf does not tell.
+    /// The start time, if the leaf reports one.
     pub fn start(&self) -> Option<LeafStart> {
         let (_, start) = self.as_str().rsplit_once(SEPARATOR)?;
         start.parse().ok().map(LeafStart)
