--- a/crates/domain/src/feed/back_off.rs
+++ b/crates/domain/src/feed/back_off.rs
@@ -1,11 +1,11 @@
-//! Pauses between attempts to connect.
+//! Backoff between connection attempts.
 
 use std::time::Duration;
 
 use rand_core::RngCore;
 
-/// Exponential back-off with full jitter: each pause is drawn evenly from zero to a bound that
-/// doubles, so that the brokers of a region that heals do not come at the same moment.
+/// Exponential backoff with full jitter: each pause is drawn uniformly from zero to a bound that
+/// doubles, so that the brokers of a recovering region do not reconnect at the same time.
 #[derive(Debug, Clone)]
 pub struct BackOff {
     base: Duration,
@@ -14,12 +14,12 @@
 }
 
 impl BackOff {
-    /// Pauses of up to `base` at first and up to `limit` in the end.
+    /// Creates a backoff whose bound starts at `base` and grows to `limit`.
     pub fn new(base: Duration, limit: Duration) -> Self {
         Self { base, limit, failures: 0 }
     }
 
-    /// The pause after one more failure.
+    /// Records a failure and draws the pause before the next attempt.
     pub fn next_pause(&mut self, random: &mut dyn RngCore) -> Duration {
         let factor = 1u32.checked_shl(self.failures).unwrap_or(u32::MAX);
         let bound = self.base.saturating_mul(factor).min(self.limit);
@@ -28,7 +28,7 @@
         bound.mul_f64(share)
     }
 
-    /// Starts again from the shortest pauses.
+    /// Records a success: the bound returns to `base`.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
--- a/crates/domain/src/feed/brokers.rs
+++ b/crates/domain/src/feed/brokers.rs
@@ -1,4 +1,4 @@
-//! The brokers that share the leaves, as deltas.
+//! The list of brokers that share the leaves, and its deltas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,40 +8,40 @@
 use crate::identifiers::BrokerName;
 use crate::routing::subset::BrokerEntry;
 
-/// A broker of the list.
+/// An entry of the broker list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownBroker {
-    /// Its name and place.
+    /// Name and placement of the broker.
     pub entry: BrokerEntry,
-    /// Whether it holds a lease. One that does not may be cut off, and still serve.
+    /// Whether the broker holds a lease. A broker without one may be partitioned and still serve.
     pub live: bool,
 }
 
-/// What changed among the brokers.
+/// Difference between two broker lists.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BrokerListDelta {
-    /// Whether the list starts empty: the first delta on a connection.
+    /// Whether the delta replaces the whole list, as the first delta on a connection does.
     pub whole: bool,
-    /// Brokers that came, moved, or gained or lost their lease.
+    /// Brokers that were added, moved, or gained or lost their lease.
     pub joined: Vec<KnownBroker>,
-    /// Brokers that are forgotten.
+    /// Brokers that were removed from the list.
     pub left: Vec<BrokerName>,
 }
 
-/// All brokers that may be serving.
+/// All brokers that may be serving, with or without a lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BrokerList {
     brokers: BTreeMap<BrokerName, KnownBroker>,
 }
 
 impl BrokerList {
-    /// A list of these brokers.
+    /// Creates a list; of two entries with the same name the last one is kept.
     pub fn new(brokers: impl IntoIterator<Item = KnownBroker>) -> Self {
         let brokers = brokers.into_iter().map(|broker| (broker.entry.name.clone(), broker));
         Self { brokers: brokers.collect() }
     }
 
-    /// Applies a delta.
+    /// Applies a delta; removals come before additions.
     pub fn apply(&mut self, delta: BrokerListDelta) {
         if delta.whole {
             self.brokers.clear();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The delta that leads from this list to `newer`; none when they are equal.
+    /// The delta from this list to `newer`, or `None` if they are equal.
     pub fn delta_to(&self, newer: &Self) -> Option<BrokerListDelta> {
         let changed =
             |(name, broker): &(&BrokerName, &KnownBroker)| self.brokers.get(name) != Some(broker);
@@ -66,19 +66,19 @@
         changes.then_some(BrokerListDelta { whole: false, joined, left })
     }
 
-    /// The whole list as a first delta.
+    /// The whole list as the first delta on a connection.
     pub fn whole(&self) -> BrokerListDelta {
         let joined = self.brokers.values().cloned().collect();
         BrokerListDelta { whole: true, joined, left: Vec::new() }
     }
 
-    /// The brokers that hold a lease, by name.
+    /// The brokers that hold a lease, sorted by name.
     pub fn live(&self) -> Arc<[BrokerEntry]> {
         let live = self.brokers.values().filter(|broker| broker.live);
         live.map(|broker| broker.entry.clone()).collect()
     }
 
-    /// All brokers that may be serving, by name.
+    /// All brokers that may be serving, sorted by name.
     pub fn all(&self) -> Vec<KnownBroker> {
         self.brokers.values().cloned().collect()
     }
--- a/crates/domain/src/feed/charge_reporter.rs
+++ b/crates/domain/src/feed/charge_reporter.rs
@@ -1,43 +1,45 @@
-//! What a broker reports of its charges, so that all are counted and none twice.
+//! Exactly-once reporting of a broker's charges.
 //!
-//! The totals of the process only grow. They are reported under a run, as totals of that run; the
-//! control tier keeps the greatest of each. When it has settled the run, the broker counts on in
-//! a new one, from what it had sent in the old.
+//! The totals of a process only grow. They are reported as cumulative totals of a run, and the
+//! control tier keeps the maximum of each, so repeated reports are idempotent. Once the control
+//! tier has settled the run, the broker continues with a new run, starting from what was recorded
+//! in the old one.
 
 use std::collections::BTreeMap;
 
 use crate::cluster::{ChargeCounter, ChargeKey};
 
-/// Totals by key.
+/// Charge totals by caller, service and class.
 pub type ChargeTotals = BTreeMap<ChargeKey, ChargeCounter>;
 
-/// A report on its way.
+/// A report that awaits its receipt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunReport {
-    /// The run that is counted under.
+    /// The run that the totals belong to.
     pub run: u64,
-    /// Number of the report, which the receipt repeats.
+    /// Sequence number of the report, echoed by the receipt.
     pub sequence: u64,
     /// Totals of the run that changed since the last recorded report.
     pub totals: ChargeTotals,
 }
 
-/// The charges of one process.
+/// Charge reporting state of one broker process.
 #[derive(Debug, Clone)]
 pub struct ChargeReporter {
     run: u64,
     next_sequence: u64,
-    /// Totals of the process that earlier runs account for.
+    /// Totals of the process that were recorded in earlier runs.
     base: ChargeTotals,
-    /// Totals of the run that are recorded.
+    /// Totals of the run that the control tier has recorded.
     recorded: ChargeTotals,
-    /// Totals of the run that were sent before the report on its way.
+    /// Totals of the run as of the last acknowledged report; added to `base` when the run is
+    /// settled.
     sent: ChargeTotals,
-    on_its_way: Option<RunReport>,
+    pending_report: Option<RunReport>,
 }
 
 impl ChargeReporter {
-    /// Nothing counted yet under `run`.
+    /// Creates a reporter that has recorded nothing under `run` yet.
     pub fn new(run: u64) -> Self {
         Self {
             run,
@@ -45,14 +47,14 @@
             base: ChargeTotals::new(),
             recorded: ChargeTotals::new(),
             sent: ChargeTotals::new(),
-            on_its_way: None,
+            pending_report: None,
         }
     }
 
-    /// The report to send when the totals of the process are `totals`: one on its way again, or
-    /// what changed; none when all is recorded.
+    /// The report to send for the process totals `totals`: the pending report again, or one with
+    /// the totals that changed; `None` if all are recorded.
     pub fn report(&mut self, totals: &ChargeTotals) -> Option<RunReport> {
-        if self.on_its_way.is_none() {
+        if self.pending_report.is_none() {
             let of_run = totals.iter().map(|(key, total)| (key, since(*total, self.base.get(key))));
             let changed = of_run.filter(|(key, total)| self.recorded.get(key) != Some(total));
             let changed: ChargeTotals = changed
@@ -64,13 +66,13 @@
             }
             let sequence = self.next_sequence;
             self.next_sequence += 1;
-            self.on_its_way = Some(RunReport { run: self.run, sequence, totals: changed });
+            self.pending_report = Some(RunReport { run: self.run, sequence, totals: changed });
         }
-        self.on_its_way.clone()
+        self.pending_report.clone()
     }
 
-    /// A report is part of the cluster's totals. A receipt of another run, such as one of a
-    /// process that was killed and had the same name, says nothing about this one.
+    /// Handles the receipt of a report that is part of the cluster's totals. Receipts of other
+    /// runs, such as those of a killed process of the same name, are ignored.
     pub fn recorded(&mut self, run: u64, sequence: u64) {
         if let Some(report) = self.take_report(run, sequence) {
             self.sent.extend(report.totals.clone());
@@ -78,8 +80,8 @@
         }
     }
 
-    /// The run of a report is settled, and nothing of the report was counted: it is counted under
-    /// `next_run`, with all that comes.
+    /// Handles the rejection of a report whose run is settled. Nothing of the report was counted;
+    /// its charges and all later ones are reported under `next_run`.
     pub fn run_settled(&mut self, run: u64, sequence: u64, next_run: u64) {
         if self.take_report(run, sequence).is_none() {
             return;
@@ -94,7 +96,7 @@
     }
 
     fn take_report(&mut self, run: u64, sequence: u64) -> Option<RunReport> {
-        self.on_its_way.take_if(|report| report.run == run && report.sequence == sequence)
+        self.pending_report.take_if(|report| report.run == run && report.sequence == sequence)
     }
 }
 
--- a/crates/domain/src/feed/follower.rs
+++ b/crates/domain/src/feed/follower.rs
@@ -1,12 +1,12 @@
-//! A broker that follows the catalog.
+//! State machine of a broker that follows the replicated catalog.
 //!
 //! The rules, whose reasons are in `docs/design/configuration-in-force.md`:
 //!
-//! - The catalog in force never goes back, whichever control process is asked.
-//! - A lease counts from when the broker asked for it, by the broker's own clock, and so never
-//!   lasts longer than the control process meant, however late the grant arrives.
-//! - A grant names the revision that was accepted when it was asked for; it counts once the
-//!   broker has that revision in force.
+//! - The revision in force never decreases, whichever control process feeds the broker.
+//! - A lease starts when the broker requests it, by the broker's own clock, and so never outlasts
+//!   what the control process granted, however late the grant arrives.
+//! - A grant names the revision that was accepted when the lease was requested; the lease is valid
+//!   once the broker has that revision in force.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 use crate::identifiers::Revision;
 use crate::time::Timestamp;
 
-/// Times of a follower.
+/// Timing of a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerSettings {
-    /// Time from one renewal of the lease to the next.
+    /// Interval between lease renewals.
     pub renewal_interval: Duration,
-    /// Time without a grant after which another control process is asked.
+    /// Time without a grant after which the broker switches to another control process.
     pub silence_limit: Duration,
 }
 
@@ -37,22 +37,22 @@
 }
 
 quick_error! {
-    /// Why a link to a control process is given up for another one.
+    /// Why the broker switches to another control process.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum FeedFault {
-        /// Its catalog is older than the one in force.
+        /// The control process offers a catalog older than the one in force.
         Older(offered: Revision, in_force: Revision) {
             display("revision {offered} is older than {in_force}, which is in force: check that the control process is not cut off or of another cluster")
         }
-        /// A change does not follow on the one in force.
+        /// A change does not directly follow the revision in force.
         Gap(offered: Revision, in_force: Revision) {
             display("change {offered} does not follow on {in_force}: asking for what lies between")
         }
-        /// A change cannot be applied.
+        /// The catalog rejects a change.
         Inapplicable(revision: Revision, reason: String) {
             display("change {revision} cannot be applied ({reason}): run the same release at both ends")
         }
-        /// No grant came in time.
+        /// No grant arrived within the silence limit.
         LeaseTimeout {
             display("no lease was granted in time: check that a quorum of control processes is up and reachable")
         }
@@ -62,64 +62,64 @@
 /// A freshness lease as granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// Number of the renewal that asked for it.
+    /// Number of the renewal that requested the lease.
     pub ticket: u64,
-    /// The revision that was accepted, by a quorum-confirmed read begun after the renewal came.
+    /// The accepted revision, from a quorum-confirmed read that began after the renewal arrived.
     pub revision: Revision,
-    /// How long the lease lasts from when it was asked for.
+    /// Duration of the lease, counted from the request.
     pub duration: Duration,
 }
 
-/// What a follower is told.
+/// Input to a follower.
 #[derive(Debug, Clone)]
 pub enum FollowerEvent {
-    /// A link to a control process is up.
+    /// A link to a control process was established.
     Connected,
-    /// The link is lost.
+    /// The link was lost.
     Disconnected,
-    /// The whole catalog came.
+    /// The full catalog arrived.
     FullCatalog(Catalog),
-    /// A change came.
+    /// A change arrived.
     Change {
-        /// The revision that it gives.
+        /// The revision that the change results in.
         revision: Revision,
         /// The change.
         change: Change,
     },
     /// A lease was granted.
     Granted(LeaseGrant),
-    /// The time that [`FollowerState::next_timer`] named has come.
+    /// The time given by [`FollowerState::next_timer`] has been reached.
     TimerElapsed,
 }
 
-/// What a follower wants done.
+/// Action requested by a follower.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FollowerEffect {
-    /// Subscribe on the link, as one that holds this revision.
+    /// Subscribe on the link, stating the revision held.
     Subscribe(Revision),
-    /// Ask for a lease.
+    /// Request a lease.
     Renew {
         /// Number of the renewal.
         ticket: u64,
         /// The revision in force.
         in_force: Revision,
     },
-    /// Put this catalog in force, and report it.
+    /// Put this catalog in force and report its revision.
     PutInForce(Arc<Catalog>),
-    /// Queries may start until then.
+    /// The lease is valid until this time; no query may start later.
     FreshUntil(Timestamp),
-    /// Close the link and take another control process.
+    /// Close the link and connect to another control process.
     GiveUp(FeedFault),
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Renewal {
     ticket: u64,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct UnmetLease {
+struct PendingLease {
     revision: Revision,
     until: Timestamp,
 }
@@ -138,12 +138,12 @@
     fresh_until: Timestamp,
     next_ticket: u64,
     renewals: VecDeque<Renewal>,
-    unmet: Option<UnmetLease>,
+    pending_lease: Option<PendingLease>,
     link: Option<Link>,
 }
 
 impl FollowerState {
-    /// A follower without a catalog, a lease or a link.
+    /// Creates a follower without a catalog, a lease or a link.
     pub fn new(settings: FollowerSettings) -> Self {
         Self {
             settings,
@@ -151,7 +151,7 @@
             fresh_until: Timestamp::ZERO,
             next_ticket: 1,
             renewals: VecDeque::new(),
-            unmet: None,
+            pending_lease: None,
             link: None,
         }
     }
@@ -161,18 +161,18 @@
         &self.catalog
     }
 
-    /// Whether the lease holds.
+    /// Whether the lease is valid at `now`.
     pub fn is_fresh(&self, now: Timestamp) -> bool {
         now < self.fresh_until
     }
 
-    /// When [`FollowerEvent::TimerElapsed`] is due next; none without a link.
+    /// When [`FollowerEvent::TimerElapsed`] is due next; `None` without a link.
     pub fn next_timer(&self) -> Option<Timestamp> {
         let link = self.link?;
         Some(link.next_renewal.min(link.last_grant.after(self.settings.silence_limit)))
     }
 
-    /// Handles one event and appends what has to be done to `effects`.
+    /// Handles one event and appends the resulting actions to `effects`.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -196,7 +196,7 @@
         self.renew(now, effects);
     }
 
-    /// Renewals of a link end with it; the lease in hand goes on.
+    /// Drops the pending renewals of the link; the current lease stays valid.
     fn disconnected(&mut self) {
         self.link = None;
         self.renewals.clear();
@@ -209,7 +209,7 @@
         link.next_renewal = now.after(self.settings.renewal_interval);
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        self.renewals.push_back(Renewal { ticket, asked_at: now });
+        self.renewals.push_back(Renewal { ticket, requested_at: now });
         effects.push(FollowerEffect::Renew { ticket, in_force: self.catalog.revision() });
     }
 
@@ -218,13 +218,13 @@
             return;
         };
         if now >= link.last_grant.after(self.settings.silence_limit) {
-            self.give_up(FeedFault::LeaseTimeout, effects);
+            self.abandon_link(FeedFault::LeaseTimeout, effects);
         } else if now >= link.next_renewal {
             self.renew(now, effects);
         }
     }
 
-    fn give_up(&mut self, fault: FeedFault, effects: &mut Vec<FollowerEffect>) {
+    fn abandon_link(&mut self, fault: FeedFault, effects: &mut Vec<FollowerEffect>) {
         self.disconnected();
         effects.push(FollowerEffect::GiveUp(fault));
     }
@@ -232,7 +232,7 @@
     fn full_catalog(&mut self, catalog: Catalog, effects: &mut Vec<FollowerEffect>) {
         let (offered, in_force) = (catalog.revision(), self.catalog.revision());
         if offered < in_force {
-            return self.give_up(FeedFault::Older(offered, in_force), effects);
+            return self.abandon_link(FeedFault::Older(offered, in_force), effects);
         }
         self.put_in_force(catalog, effects);
     }
@@ -243,13 +243,13 @@
             return;
         }
         if revision.0 != in_force.0 + 1 {
-            return self.give_up(FeedFault::Gap(revision, in_force), effects);
+            return self.abandon_link(FeedFault::Gap(revision, in_force), effects);
         }
         let mut catalog = Catalog::clone(&self.catalog);
         match catalog.apply(change) {
             Ok(_) => self.put_in_force(catalog, effects),
             Err(error) => {
-                self.give_up(FeedFault::Inapplicable(revision, error.to_string()), effects)
+                self.abandon_link(FeedFault::Inapplicable(revision, error.to_string()), effects)
             }
         }
     }
@@ -258,7 +258,7 @@
         self.catalog = Arc::new(catalog);
         effects.push(FollowerEffect::PutInForce(self.catalog.clone()));
         let revision = self.catalog.revision();
-        if let Some(lease) = self.unmet.take_if(|lease| lease.revision <= revision) {
+        if let Some(lease) = self.pending_lease.take_if(|lease| lease.revision <= revision) {
             self.extend(lease.until, effects);
         }
     }
@@ -269,20 +269,20 @@
         };
         let in_force = self.catalog.revision();
         if grant.revision < in_force {
-            return self.give_up(FeedFault::Older(grant.revision, in_force), effects);
+            return self.abandon_link(FeedFault::Older(grant.revision, in_force), effects);
         }
         if let Some(link) = &mut self.link {
             link.last_grant = now;
         }
-        let until = renewal.asked_at.after(grant.duration);
+        let until = renewal.requested_at.after(grant.duration);
         if grant.revision == in_force {
             self.extend(until, effects);
         } else {
-            self.unmet = Some(UnmetLease { revision: grant.revision, until });
+            self.pending_lease = Some(PendingLease { revision: grant.revision, until });
         }
     }
 
-    /// The renewal of this number; it and older ones are answered.
+    /// Removes and returns the renewal with this number; older ones are removed as superseded.
     fn take_renewal(&mut self, ticket: u64) -> Option<Renewal> {
         let place = self.renewals.iter().position(|renewal| renewal.ticket == ticket)?;
         self.renewals.drain(..=place).next_back()
--- a/crates/domain/src/feed/mod.rs
+++ b/crates/domain/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! The broker's side of its feed: which catalog it has in force and until when it may rely on it.
+//! The broker's side of its feed: the catalog in force and the lease that bounds its use.
 
 mod back_off;
 mod brokers;
--- a/crates/domain/src/feed/overload_reporter.rs
+++ b/crates/domain/src/feed/overload_reporter.rs
@@ -1,4 +1,5 @@
-//! What a broker reports of its overload: what is new, and only while there is something to say.
+//! Overload reports of a broker: changes since the last report, and only while a service is
+//! overloaded.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +12,16 @@
     overloaded: bool,
 }
 
-/// Turns counters that grow into reports of an interval.
+/// Converts cumulative counters into reports per interval.
 #[derive(Debug, Clone, Default)]
 pub struct OverloadReporter {
     services: BTreeMap<ServiceName, Reported>,
 }
 
 impl OverloadReporter {
-    /// The reports to send when the broker measures `measured`: one for each service that is
-    /// overloaded, or that was when it was looked at before. Their `offered` and `refused` count
-    /// since then.
+    /// The reports to send for the cumulative measurements `measured`: one for each service that is
+    /// overloaded or was in the previous interval. `offered` and `refused` in them count from the
+    /// previous call.
     pub fn reports(&mut self, measured: Vec<OverloadReport>) -> Vec<OverloadReport> {
         measured.into_iter().filter_map(|report| self.report(report)).collect()
     }
@@ -36,7 +37,7 @@
     }
 }
 
-/// Whether queries wait, were refused, or a class is shut out.
+/// Whether the service is saturated, queries were refused, or a class is not admitted.
 fn is_overloaded(interval: &OverloadReport) -> bool {
     let refused = interval.classes.iter().any(|class| class.refused > 0);
     refused || interval.is_saturated() || interval.lowest_admitted != ADMIT_ALL
