--- a/crates/domain/src/routes/accepted.rs
+++ b/crates/domain/src/routes/accepted.rs
@@ -1,4 +1,4 @@
-//! The configuration of routes as control processes agree on it.
+//! The route configuration as replicated among control processes.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,17 +10,17 @@
 use crate::directory::{LeafDirectory, ListedLeaf};
 use crate::identifiers::ServiceName;
 
-/// A configuration with the operator's own text of it.
+/// A configuration together with the document that the operator sent.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedRoutes {
-    /// The configuration.
+    /// The parsed configuration.
     pub configuration: RouteConfiguration,
-    /// The document by which the operator sent it, given back to readers to the letter.
+    /// The document as sent by the operator; readers get it back byte for byte.
     pub document: Vec<u8>,
 }
 
 impl fmt::Debug for AcceptedRoutes {
-    /// Without the document, which tells the keys of tenants.
+    /// Omits the document, which contains the keys of tenants.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("AcceptedRoutes")
@@ -31,7 +31,7 @@
 }
 
 impl AcceptedRoutes {
-    /// Whether a route names a service of which a list has no leaf.
+    /// Whether a route names a service that has no leaf in `directory`.
     pub fn names_unlisted_service(&self, directory: &LeafDirectory) -> bool {
         let listed: BTreeSet<&ServiceName> =
             directory.leaves().values().map(|leaf| &leaf.service).collect();
@@ -41,43 +41,43 @@
     }
 }
 
-/// What became of a replacement; both are acknowledged to the operator.
+/// Outcome of a replacement, acknowledged to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplaceOutcome {
-    /// It is the configuration now.
+    /// The new configuration is current.
     Accepted,
-    /// One of this or a higher version was accepted before; nothing changed.
+    /// The current configuration has this version, which is the same or higher; nothing changed.
     Superseded(RouteVersion),
-    /// It is not valid; nothing changed.
+    /// The new configuration is not valid; nothing changed.
     Invalid,
 }
 
-/// The configuration of the highest version accepted.
+/// Replicated state: the accepted configuration with the highest version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteState {
     current: Option<Arc<AcceptedRoutes>>,
 }
 
 impl RouteState {
-    /// With this configuration accepted, or none.
+    /// Creates a state with this configuration.
     pub(crate) fn of(current: Option<Arc<AcceptedRoutes>>) -> Self {
         Self { current }
     }
 
-    /// The configuration, if one was accepted.
+    /// The current configuration, or `None` before the first one.
     pub fn current(&self) -> Option<&Arc<AcceptedRoutes>> {
         self.current.as_ref()
     }
 
-    /// Its version; 0 when there is none.
+    /// Version of the current configuration; 0 if there is none.
     pub fn version(&self) -> RouteVersion {
         self.current.as_ref().map_or(RouteVersion(0), |routes| routes.configuration.version)
     }
 
-    /// Takes out of a list that leaves are cold where their service does not limit what cold leaves get:
-    /// nothing follows from it, and hundreds of leaves that turn warm together are a large change of the
-    /// list for every broker. Over 291 brokers it cost 0.04 of the credit on a simulated day whose index was cut
-    /// anew.
+    /// Clears the warm-up time of leaves whose service does not limit requests to cold leaves. The
+    /// time has no effect there, and hundreds of leaves that turn warm together are a large delta
+    /// of the list for every broker: with 291 brokers it cost 0.04 of the credit on a simulated day
+    /// with a repartitioned index.
     pub fn clear_unlimited_cold_starts(&self, listed: &mut [ListedLeaf]) {
         let services = self.current.iter().flat_map(|routes| &routes.configuration.services);
         let limited: BTreeSet<&ServiceName> = services
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Replaces the configuration by one of a higher version.
+    /// Replaces the configuration if `newer` is valid and has a higher version.
     pub fn replace(&mut self, newer: &Arc<AcceptedRoutes>) -> ReplaceOutcome {
         if self.current.is_some() && newer.configuration.version <= self.version() {
             return ReplaceOutcome::Superseded(self.version());
--- a/crates/domain/src/routes/configuration.rs
+++ b/crates/domain/src/routes/configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration of routes and its validation.
+//! The route configuration and its validation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,126 +10,126 @@
 use crate::forwarding::ColdStart;
 use crate::identifiers::{ServiceName, TenantName};
 
-/// Version of a configuration, given by operators; the highest counts.
+/// Version of a configuration, assigned by operators; the highest one wins.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RouteVersion(pub u64);
 
-/// A share of a whole, in millionths.
+/// A fraction in parts per million.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PartsPerMillion(pub u32);
 
 impl PartsPerMillion {
-    /// The whole.
+    /// One in parts per million.
     pub const WHOLE: u32 = 1_000_000;
 
-    /// Whether `part` of `whole` things reach the share.
+    /// Whether `part` of `whole` items are at least this fraction.
     pub fn reached_by(self, part: usize, whole: usize) -> bool {
         part as u64 * u64::from(Self::WHOLE) >= whole as u64 * u64::from(self.0)
     }
 }
 
-/// Routes, the services that they name, and what callers may send.
+/// Routes, the services that they name, the limits on callers, and the tenants.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteConfiguration {
-    /// Its version.
+    /// Version assigned by the operator.
     pub version: RouteVersion,
-    /// The routes, in no order.
+    /// The routes; their order has no meaning.
     pub routes: Vec<Route>,
     /// The services that routes may name.
     pub services: Vec<BackEndService>,
-    /// What callers may send.
+    /// Size and time limits on callers' requests.
     pub limits: CallerLimits,
-    /// Who may call; where none is named, everybody may.
+    /// Tenants that may send requests; if empty, no key is required.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
 }
 
-/// Requests of one host below one path.
+/// Rules for the requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs and errors.
+    /// Name in logs and error messages.
     pub name: String,
-    /// Host that the request names, in lower case.
+    /// Value of the request's Host header, in lower case and without a port.
     pub host: String,
-    /// Path below which requests match; begins and ends with a slash.
+    /// Prefix of the request's path; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether requests are idempotent and may run more than once.
     pub repeatable: bool,
-    /// Longest time for which a request is held, in milliseconds.
+    /// Deadline of a request, in milliseconds from arrival.
     pub timeout_ms: u64,
-    /// Time within which an answer is of full worth, in milliseconds.
+    /// Latency up to which a reply has its full value, in milliseconds.
     pub target_latency_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Most leaves on which one request, or each part of it, may run.
+    /// Maximum number of leaves that one request, or each of its shard requests, is sent to.
     pub attempts: u32,
-    /// Who answers.
+    /// The services that process the requests.
     pub destination: Destination,
-    /// Where its requests may be served.
+    /// Regions in which requests may be processed.
     #[serde(default)]
     pub allowed_regions: RegionPolicy,
-    /// Whether its requests need no key, also where tenants are named.
+    /// Whether requests need no key even if tenants are configured.
     #[serde(default)]
     pub public: bool,
 }
 
-/// Who answers the requests of a route.
+/// The services that process the requests of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Destination {
-    /// One leaf of a service.
+    /// One leaf of one service.
     Service(ServiceName),
-    /// One leaf of one of several services, in proportion to their weights.
+    /// One leaf of one of several services, picked in proportion to the weights.
     Split(Vec<WeightedService>),
-    /// One leaf of each of several services, whose records are merged.
+    /// Scatter-gather: one leaf of each of several services, whose records are merged.
     Shards(ShardSet),
 }
 
-/// A service with its weight in a split.
+/// A service and its weight in a traffic split.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its weight, in millionths of the operator's unit.
+    /// Relative weight, in millionths of the operator's unit.
     pub weight: u64,
 }
 
-/// Services that hold one part of an index each.
+/// Services that each hold one shard of an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardSet {
-    /// The services.
+    /// One service for each shard.
     pub services: Vec<ServiceName>,
-    /// How many of the greatest records are answered.
+    /// Number of top records in the merged reply.
     pub greatest: u32,
-    /// Share of the parts below which there is no answer.
+    /// Minimum fraction of the shards that must reply for a merged reply.
     pub least_share: PartsPerMillion,
 }
 
 /// A service that routes may name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndService {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Path of the leaves' health check.
+    /// Path of the health check of each leaf.
     pub health_path: String,
-    /// Connections that each leaf accepts from all brokers together.
+    /// Number of connections that each leaf accepts from all brokers together.
     pub connection_limit: u32,
-    /// How its leaves start.
+    /// Warm-up of leaves after a start.
     #[serde(default)]
     pub cold_start: ColdStart,
 }
 
-/// What callers may send, and how long they may take.
+/// Size and time limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: u32,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: u32,
-    /// Milliseconds from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last, in milliseconds.
     pub head_time_ms: u32,
-    /// Milliseconds for which a connection may lie idle between requests.
+    /// Maximum idle time of a connection between requests, in milliseconds.
     pub idle_time_ms: u32,
 }
 
@@ -145,7 +145,7 @@
 }
 
 impl Destination {
-    /// The service that stands for the destination: routes to the same leaves share it.
+    /// The first service, used to identify the destination: routes to the same leaves share it.
     pub fn representative(&self) -> Option<&ServiceName> {
         match self {
             Self::Service(service) => Some(service),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// The services that are named.
+    /// All services of the destination.
     pub fn services(&self) -> Vec<&ServiceName> {
         match self {
             Self::Service(service) => vec![service],
@@ -165,10 +165,10 @@
 }
 
 impl RouteConfiguration {
-    /// Checks the whole configuration.
+    /// Validates the whole configuration.
     ///
     /// # Errors
-    /// A [`RouteError`] that names the first fault found and the remedy.
+    /// A [`RouteError`] for the first fault found, with its remedy.
     pub fn validate(&self) -> Result<(), RouteError> {
         let mut services = BTreeSet::new();
         for service in &self.services {
@@ -176,10 +176,10 @@
                 return Err(RouteError::DuplicateService(service.name.clone()));
             }
         }
-        let mut places = BTreeSet::new();
+        let mut prefixes = BTreeSet::new();
         for route in &self.routes {
             route.validate(&services)?;
-            if !places.insert((&route.host, &route.path_prefix)) {
+            if !prefixes.insert((&route.host, &route.path_prefix)) {
                 return Err(RouteError::DuplicateRoute(
                     route.name.clone(),
                     route.host.clone(),
@@ -192,7 +192,7 @@
 
     fn validate_tenants(&self) -> Result<(), RouteError> {
         let mut names = BTreeSet::new();
-        let mut holders: BTreeMap<KeyDigest, &TenantName> = BTreeMap::new();
+        let mut tenants_by_key: BTreeMap<KeyDigest, &TenantName> = BTreeMap::new();
         for tenant in &self.tenants {
             if !tenant.has_usable_name() {
                 return Err(RouteError::BadTenantName(tenant.name.clone()));
@@ -201,7 +201,7 @@
                 return Err(RouteError::DuplicateTenant(tenant.name.clone()));
             }
             for key in &tenant.keys {
-                if let Some(other) = holders.insert(*key, &tenant.name) {
+                if let Some(other) = tenants_by_key.insert(*key, &tenant.name) {
                     return Err(RouteError::DuplicateKey(other.clone(), tenant.name.clone()));
                 }
             }
@@ -211,7 +211,8 @@
 }
 
 impl Route {
-    /// Whether requests of a tenant may be served in a region: its policy and the route's both bind.
+    /// Whether requests of a tenant may be processed in a region: both its policy and the route's
+    /// must allow it.
     pub fn allows_region(&self, tenant: Option<&Tenant>, region: Option<&str>) -> bool {
         self.allowed_regions.allows(region)
             && tenant.is_none_or(|tenant| tenant.allowed_regions.allows(region))
--- a/crates/domain/src/routes/key_index.rs
+++ b/crates/domain/src/routes/key_index.rs
@@ -1,23 +1,23 @@
-//! Whose key it is.
+//! Lookup of tenants by key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use super::tenant::{KeyDigest, Tenant};
 
-/// The tenants of a configuration by their keys.
+/// The tenants of a configuration, indexed by the digests of their keys.
 #[derive(Debug, Default)]
 pub struct KeyIndex {
     tenants: Vec<Arc<Tenant>>,
-    /// What tenants say of their priority.
+    /// Priorities of the tenants; `None` for a tenant that uses the priority of the route.
     priorities: BTreeSet<Option<u32>>,
-    /// Requests in a thousand seconds; 0 where nobody has a limit.
+    /// Requests per 1000 s; 0 if no tenant has a limit.
     largest_quota: u64,
     buckets: BTreeMap<u64, Vec<(KeyDigest, Arc<Tenant>)>>,
 }
 
 impl KeyIndex {
-    /// Indexes the tenants of a valid configuration: no key is of two of them.
+    /// Indexes the tenants of a valid configuration, in which no key belongs to two tenants.
     pub fn new(tenants: Vec<Tenant>) -> Self {
         let mut index = Self::default();
         for tenant in tenants {
@@ -36,7 +36,7 @@
         self.tenants.push(tenant);
     }
 
-    /// Whether callers have to show a key.
+    /// Whether requests need a key.
     pub fn is_required(&self) -> bool {
         !self.tenants.is_empty()
     }
@@ -46,12 +46,12 @@
         &self.tenants
     }
 
-    /// The priorities of the tenants; it holds `None` if some tenant has that of its route.
+    /// The priorities of the tenants; contains `None` if a tenant uses the priority of the route.
     pub fn priorities(&self) -> &BTreeSet<Option<u32>> {
         &self.priorities
     }
 
-    /// The largest quota of a tenant, in requests in a thousand seconds; 0 where nobody has a limit.
+    /// The largest quota of a tenant, in requests per 1000 s; 0 if no tenant has a limit.
     pub fn largest_quota(&self) -> u64 {
         self.largest_quota
     }
--- a/crates/domain/src/routes/mod.rs
+++ b/crates/domain/src/routes/mod.rs
@@ -1,7 +1,7 @@
-//! Routes: which back ends answer a request, by its host and path.
+//! Routes: which back ends process a request, by its host and path.
 //!
-//! A [`RouteConfiguration`] is replaced as a whole under a version that operators give. It is
-//! valid as a whole or not at all, and the highest version wins.
+//! A [`RouteConfiguration`] is validated and replaced as a whole, under a version that operators
+//! assign. The highest version wins.
 
 mod accepted;
 mod configuration;
--- a/crates/domain/src/routes/table.rs
+++ b/crates/domain/src/routes/table.rs
@@ -1,4 +1,4 @@
-//! The routes as a broker looks them up.
+//! Route lookup in a broker.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,33 +12,33 @@
 use crate::forwarding::SharingTenant;
 use crate::identifiers::ServiceName;
 
-/// A configuration, indexed by host.
+/// A configuration indexed by host, key and service.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: RouteVersion,
     limits: CallerLimits,
     services: BTreeMap<ServiceName, BackEndService>,
-    /// Routes of a host, those of longer prefixes first.
+    /// Routes of each host, longest prefix first.
     hosts: BTreeMap<String, Vec<Arc<Route>>>,
-    /// Who may call.
+    /// Tenants by key.
     keys: KeyIndex,
-    /// Priorities of the requests to each destination.
+    /// Priorities that requests to each destination may have.
     priorities: BTreeMap<ServiceName, BTreeSet<u32>>,
-    /// Services that are asked for a part of gathered answers, with the shortest target latency.
+    /// Services of shard sets, with the shortest target latency of their routes.
     shards: BTreeMap<ServiceName, Duration>,
 }
 
-/// What a request matches.
+/// Result of a route lookup.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteLookup {
-    /// A route.
+    /// The route that matches the request.
     Found(Arc<Route>),
-    /// The host has no route for the path, or is unknown.
+    /// The host is unknown or has no route for the path.
     NotFound,
 }
 
 impl RouteTable {
-    /// Indexes a valid configuration.
+    /// Builds the table of a valid configuration.
     pub fn new(configuration: RouteConfiguration) -> Self {
         let keys = KeyIndex::new(configuration.tenants);
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
@@ -53,7 +53,10 @@
                 }
             }
             if let Some(service) = route.destination.representative() {
-                priorities.entry(service.clone()).or_default().extend(of_requests(&route, &keys));
+                priorities
+                    .entry(service.clone())
+                    .or_default()
+                    .extend(request_priorities(&route, &keys));
             }
             hosts.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
         }
@@ -77,27 +80,27 @@
         self.version
     }
 
-    /// What callers may send.
+    /// Size and time limits on callers' requests.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// A service by its name.
+    /// The service of this name.
     pub fn service(&self, name: &ServiceName) -> Option<&BackEndService> {
         self.services.get(name)
     }
 
-    /// Services that are asked for a part of gathered answers, with the shortest target latency.
+    /// Services of shard sets, with the shortest target latency of their routes.
     pub fn shards(&self) -> &BTreeMap<ServiceName, Duration> {
         &self.shards
     }
 
-    /// Who may call, by their keys.
+    /// The tenants by key.
     pub fn keys(&self) -> &KeyIndex {
         &self.keys
     }
 
-    /// How many priorities above that of a request the destination of its route serves.
+    /// Number of distinct higher priorities that requests to the same destination may have.
     pub fn rank(&self, route: &Route, tenant: Option<&Tenant>) -> u32 {
         let service = route.destination.representative();
         let known = service.and_then(|service| self.priorities.get(service));
@@ -105,8 +108,8 @@
         known.map_or(0, |known| known.range(..own).count() as u32)
     }
 
-    /// The weight by which a tenant shares with others where leaves run short: what it may send. One that may
-    /// send as much as it wants has the weight of the largest quota.
+    /// The weight of a tenant in fair sharing of scarce leaves: its quota. A tenant without a limit
+    /// has the weight of the largest quota.
     pub fn sharing(&self, tenant: &Tenant) -> SharingTenant {
         let weight = match tenant.quota.is_limited() {
             true => tenant.quota.requests_per_1000_s,
@@ -115,7 +118,7 @@
         SharingTenant::new(&tenant.name, weight)
     }
 
-    /// The route of the longest prefix that begins `path`. The host may carry a port.
+    /// Finds the route with the longest prefix of `path`. `host` may include a port.
     pub fn find(&self, host: &str, path: &str) -> RouteLookup {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let Some(routes) = self.hosts.get(&name.to_ascii_lowercase()) else {
@@ -126,14 +129,14 @@
     }
 }
 
-/// The priority of a request: its tenant's goes before its route's.
+/// The priority of a request: its tenant's if set, otherwise its route's.
 fn priority(route: &Route, tenant: Option<&Tenant>) -> u32 {
     tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority)
 }
 
 /// The priorities that requests of a route may have.
-fn of_requests(route: &Route, keys: &KeyIndex) -> BTreeSet<u32> {
+fn request_priorities(route: &Route, keys: &KeyIndex) -> BTreeSet<u32> {
     let without_tenant = (route.public || !keys.is_required()).then_some(route.priority);
-    let of_tenants = keys.priorities().iter().map(|own| own.unwrap_or(route.priority));
-    of_tenants.chain(without_tenant).collect()
+    let tenant_priorities = keys.priorities().iter().map(|own| own.unwrap_or(route.priority));
+    tenant_priorities.chain(without_tenant).collect()
 }
--- a/crates/domain/src/routes/tenant.rs
+++ b/crates/domain/src/routes/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: who may call, at what priority, how much, and where their requests may be served.
+//! Tenants: keys, priority, quota and allowed regions.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,94 +10,94 @@
 use super::region_policy::RegionPolicy;
 use crate::identifiers::TenantName;
 
-/// Thousandths of a whole: quotas are whole numbers of them, so that processes agree on every one.
+/// Quotas are stored as integer thousandths, so that all processes compute exactly the same values.
 const THOUSAND: f64 = 1_000.0;
 
-/// Digest of a caller's key (SHA-256). Brokers know digests only, so that no key of theirs can leak.
+/// SHA-256 digest of a caller's key. Brokers hold only digests, so they cannot leak keys.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key as its caller sends it.
+    /// The digest of a key as sent by a caller.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// The digest of a key as an operator writes it; none of an empty one. Callers' keys come without space
-    /// around them, so that one is left out here as well.
+    /// The digest of a key as written by an operator, or `None` if it is empty. Surrounding white
+    /// space is removed, as it is from callers' keys.
     pub fn of_text(key: &str) -> Option<Self> {
         let key = key.trim();
         (!key.is_empty()).then(|| Self::of(key.as_bytes()))
     }
 
-    /// Digests of the same bucket differ hardly ever: by it a digest is looked up, so that how long the
-    /// look-up takes tells nothing of the rest.
+    /// Bucket for lookups, from the first 8 bytes. Buckets almost never hold more than one digest,
+    /// so the lookup time reveals nothing about the remaining bytes.
     pub(super) fn bucket(&self) -> u64 {
         let mut first = [0; size_of::<u64>()];
         first.copy_from_slice(&self.0[..size_of::<u64>()]);
         u64::from_be_bytes(first)
     }
 
-    /// Whether both are of the same key; takes as long whether or not they are.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Short, since a digest of a guessable key tells the key to whoever tries all of them.
+    /// Writes a prefix only, since a guessable key can be recovered from its full digest.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "KeyDigest({:02x}{:02x}..)", self.0[0], self.0[1])
     }
 }
 
-/// Callers who share keys, a priority and a quota.
+/// A group of callers with shared keys, priority and quota.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name, which leaves are told.
+    /// Name, sent to leaves in a header field.
     pub name: TenantName,
-    /// Digests of its keys; a tenant may have several while they are exchanged.
+    /// Digests of the tenant's keys; several are valid during key rotation.
     pub keys: BTreeSet<KeyDigest>,
-    /// Rank of its requests, instead of their route's; 0 is the highest.
+    /// Priority of the tenant's requests, overriding the route's; 0 is the highest.
     #[serde(default)]
     pub priority: Option<u32>,
-    /// How many requests it may send.
+    /// Rate limit over all brokers together.
     #[serde(default)]
     pub quota: TenantQuota,
-    /// Where its requests may be served; the policy of the route binds as well.
+    /// Regions in which the tenant's requests may be processed; the route's policy applies as well.
     #[serde(default)]
     pub allowed_regions: RegionPolicy,
 }
 
 impl Tenant {
-    /// Whether leaves can be told the name in a header field as it is.
+    /// Whether the name can be sent unchanged in a header field.
     pub fn has_usable_name(&self) -> bool {
         let name = self.name.as_str();
         !name.is_empty() && name.trim() == name && !name.contains(char::is_control)
     }
 }
 
-/// How many requests a tenant may send, over all brokers together.
+/// Rate limit of a tenant over all brokers together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantQuota {
-    /// Requests in a thousand seconds; 0 for no limit.
+    /// Requests per 1000 s; 0 for no limit.
     pub requests_per_1000_s: u64,
-    /// Thousandths of the requests that may come at once after a rest.
+    /// Burst size after an idle period, in thousandths of a request.
     pub burst_thousandths: u64,
 }
 
 impl TenantQuota {
-    /// Whether there is a limit.
+    /// Whether the rate is limited.
     pub fn is_limited(self) -> bool {
         self.requests_per_1000_s > 0
     }
 
-    /// Requests a second.
+    /// Sustained rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.requests_per_1000_s as f64 / THOUSAND
     }
 
-    /// Requests that may come at once after a rest: one at least, or none could ever come.
+    /// Burst size in requests; at least 1, since no request could be admitted otherwise.
     pub fn burst(self) -> f64 {
         (self.burst_thousandths as f64 / THOUSAND).max(1.0)
     }
