--- a/crates/domain/src/catalog/change.rs
+++ b/crates/domain/src/catalog/change.rs
@@ -1,4 +1,4 @@
-//! Changes that operators make to the catalog.
+//! Changes to the catalog.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,25 +10,25 @@
 };
 use crate::rollout::{RolloutAdvance, RolloutOrder};
 
-/// One change; applied whole or not at all.
+/// One change, applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Adds a leaf.
     AddLeaf(Leaf),
-    /// Drains a leaf or takes it back.
+    /// Drains or resumes a leaf.
     SetLeafState {
         /// The leaf.
         leaf: LeafId,
-        /// Its new state.
+        /// The requested state.
         state: LeafState,
     },
     /// Removes a leaf from the catalog and from every partition map.
     RemoveLeaf(LeafId),
-    /// Defines a service, or changes its concurrency.
+    /// Defines a service or changes its concurrency.
     DefineService {
         /// The service.
         service: ServiceName,
-        /// Queries that one broker runs at the same time.
+        /// Maximum number of queries that one broker runs concurrently.
         concurrency: u32,
     },
     /// Defines or replaces a class of a service.
@@ -44,17 +44,17 @@
         service: ServiceName,
         /// The shard.
         shard: ShardId,
-        /// All its replicas.
+        /// The complete list of replicas.
         leaves: Vec<LeafId>,
     },
-    /// Starts a new partition map; queries use it from the next publication on.
+    /// Creates a new partition map, used by queries after the next publication.
     Repartition {
         /// The service.
         service: ServiceName,
-        /// How many shards the new map has.
+        /// Number of shards in the new map.
         shards: u32,
     },
-    /// Publishes an index version over the newest partition map.
+    /// Publishes an index version on the newest partition map.
     PublishVersion {
         /// The service.
         service: ServiceName,
@@ -68,7 +68,7 @@
         /// The account.
         account: CallerAccount,
     },
-    /// Removes a service with its classes and maps; its queries are refused from then on.
+    /// Removes a service with its classes and partition maps; later queries for it are refused.
     RemoveService(ServiceName),
     /// Removes a class of a service.
     RemoveClass {
@@ -77,7 +77,7 @@
         /// The class.
         class: ClassName,
     },
-    /// Sets what an answered request of a class costs.
+    /// Sets the price of an answered request of a class.
     SetPrice {
         /// The service.
         service: ServiceName,
@@ -88,12 +88,12 @@
     },
     /// Removes a caller's account.
     RemoveCaller(CallerName),
-    /// Admits a broker of this name, also one that was removed.
+    /// Admits a broker; the name of a removed broker may be reused.
     AddBroker {
         /// The broker.
         broker: BrokerName,
     },
-    /// Drains a broker or takes it back.
+    /// Drains or resumes a broker.
     SetBrokerState {
         /// The broker.
         broker: BrokerName,
@@ -104,7 +104,7 @@
     RemoveBroker(BrokerName),
     /// Adds a control process.
     AddControl(ControlMember),
-    /// Drains a control process or takes it back.
+    /// Drains or resumes a control process.
     SetControlState {
         /// The control process.
         control: ControlName,
@@ -115,12 +115,12 @@
     RemoveControl(ControlName),
     /// Evacuates a zone: its leaves get no new work until the zone is restored.
     EvacuateZone(ZoneName),
-    /// Takes the evacuation of a zone back.
+    /// Ends the evacuation of a zone.
     RestoreZone(ZoneName),
-    /// Begins to move the requests of a service to another software version.
+    /// Starts the roll-out of a software version of a service.
     BeginRollout(RolloutOrder),
-    /// A roll-out goes on to its next stage; control processes decide on it by themselves.
+    /// Advances a roll-out to its next stage; issued by control processes, not by operators.
     AdvanceRollout(RolloutAdvance),
-    /// Releases a request that is refused because leaves crash under it.
+    /// Releases a request that is refused because it crashes leaves.
     ReleaseRequest(RequestDigest),
 }
--- a/crates/domain/src/catalog/error.rs
+++ b/crates/domain/src/catalog/error.rs
@@ -1,4 +1,4 @@
-//! Reasons why a change is not accepted.
+//! Why a change is rejected.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 use crate::rollout::RolloutError;
 
 quick_error! {
-    /// A change that the catalog refuses; each message names the remedy.
+    /// Why the catalog rejects a change; each message names the remedy.
     #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
     pub enum CatalogError {
         /// The service is not defined.
@@ -21,19 +21,19 @@
         UnknownLeaf(leaf: LeafId) {
             display("leaf {leaf} is not known: list leaves with SHOW LEAVES, or ADD LEAF first")
         }
-        /// A leaf of this number exists.
+        /// The catalog has a leaf with this number.
         LeafExists(leaf: LeafId) {
             display("leaf {leaf} exists: choose another number, or REMOVE LEAF {leaf} first")
         }
-        /// Two classes of a service may not share a priority.
+        /// Another class of the service has this priority.
         PriorityTaken(priority: u8, holder: ClassName) {
             display("priority {priority} is held by class {holder}: choose another priority")
         }
-        /// Index versions only grow.
+        /// The index version is not higher than the published one.
         VersionNotNewer(offered: IndexVersion, published: IndexVersion) {
             display("version {offered} is not newer than the published {published}: publish a greater number")
         }
-        /// A snapshot is published only when every shard has a replica.
+        /// A version cannot be published while a shard has no replica.
         ShardsUnassigned(shards: String) {
             display("shards without a leaf: [{shards}], or no shards at all: ASSIGN SHARD for each before PUBLISH")
         }
@@ -41,23 +41,23 @@
         UnknownClass(service: ServiceName, class: ClassName) {
             display("service {service} has no class {class}: list classes with SHOW CLASSES, or DEFINE CLASS first")
         }
-        /// No account has this name.
+        /// No caller of this name has an account.
         UnknownCaller(caller: CallerName) {
             display("caller {caller} has no account: list accounts with SHOW CALLERS, or DEFINE CALLER first")
         }
-        /// A shard names a leaf twice.
+        /// A leaf is listed more than once for a shard.
         DuplicateReplica(shard: ShardId, leaf: LeafId) {
             display("shard {shard} names leaf {leaf} twice: name each leaf once")
         }
-        /// A broker of this name is admitted.
+        /// A broker of this name is already admitted.
         BrokerExists(broker: BrokerName) {
             display("broker {broker} exists: choose another name, or RESUME BROKER {broker}")
         }
-        /// The broker is not known, or removed.
+        /// The broker is unknown or was removed.
         UnknownBroker(broker: BrokerName) {
             display("broker {broker} is not known: list brokers with SHOW BROKERS, or ADD BROKER first")
         }
-        /// A control process of this name is a member.
+        /// A control process of this name is or was a member.
         ControlExists(control: ControlName) {
             display("control process {control} exists: choose another name; a machine whose disk was lost joins under a new one")
         }
@@ -65,16 +65,16 @@
         UnknownControl(control: ControlName) {
             display("control process {control} is not known: list them with SHOW CONTROLS, or ADD CONTROL first")
         }
-        /// No further zone can be evacuated.
+        /// The limit on evacuated zones is reached.
         TooManyEvacuations(limit: u64) {
             display("{limit} zones are evacuated: list them with SHOW ZONES, and RESTORE ZONE those that serve again")
         }
-        /// An order or a step of a roll-out.
+        /// A roll-out order or advance is not valid.
         Rollout(error: RolloutError) {
             from()
             display("{error}")
         }
-        /// Too small or large a number.
+        /// A number is out of range.
         BadNumber(field: String, value: u64, remedy: String) {
             display("{field} {value} is not usable: {remedy}")
         }
--- a/crates/domain/src/catalog/former.rs
+++ b/crates/domain/src/catalog/former.rs
@@ -1,4 +1,4 @@
-//! The catalog as former releases laid it out: with roll-outs as they had them, or without.
+//! Layouts of the catalog in former releases, for decoding their documents.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::identifiers::{BrokerName, CallerName, ControlName, Revision, ServiceName, ZoneName};
 use crate::rollout::Rollouts;
 
-/// The whole configuration at one revision.
+/// [`Catalog`] in a former layout; `Former` is the type of its roll-outs.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FormerCatalog<Former> {
     revision: Revision,
@@ -22,7 +22,7 @@
     rollouts: Former,
 }
 
-/// The roll-outs of releases that knew none: nothing at all in a document.
+/// The roll-outs of releases without them; occupies no bytes in a document.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct NoRollouts;
 
--- a/crates/domain/src/catalog/leaf.rs
+++ b/crates/domain/src/catalog/leaf.rs
@@ -1,4 +1,4 @@
-//! A leaf: one back end process that serves replicas of shards.
+//! A leaf: a back-end process that serves replicas of shards.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::identifiers::{LeafId, RegionName, ZoneName};
 
-/// Address at which a leaf takes HTTP requests.
+/// Address at which a leaf accepts HTTP requests.
 pub type LeafAddress = SocketAddr;
 
 /// Where a process runs.
@@ -14,11 +14,11 @@
 pub struct Placement {
     /// Region of the zone.
     pub region: RegionName,
-    /// Failure zone.
+    /// Failure zone within the region.
     pub zone: ZoneName,
 }
 
-/// What operators want of a leaf.
+/// State of a leaf as set by operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeafState {
     /// Takes new work.
@@ -30,16 +30,16 @@
 /// One leaf as configured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leaf {
-    /// Its number.
+    /// Number of the leaf, unique within the catalog.
     pub id: LeafId,
-    /// Its address.
+    /// Address at which the leaf accepts requests.
     pub address: LeafAddress,
-    /// Its place.
+    /// Region and zone in which the leaf runs.
     pub placement: Placement,
-    /// Requests it runs at the same time.
+    /// Number of requests that the leaf runs concurrently.
     pub slots: u32,
-    /// Connections it accepts over all brokers.
+    /// Number of connections that the leaf accepts from all brokers together.
     pub connection_limit: u32,
-    /// What operators want of it.
+    /// State as set by operators.
     pub state: LeafState,
 }
--- a/crates/domain/src/catalog/leaf_map.rs
+++ b/crates/domain/src/catalog/leaf_map.rs
@@ -1,4 +1,4 @@
-//! The leaves of a catalog, in blocks that copies share.
+//! A copy-on-write map of leaves, divided into blocks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
@@ -9,58 +9,59 @@
 use super::Leaf;
 use crate::identifiers::LeafId;
 
-/// Bits of a leaf's number within its block: a change copies at most 128 pointers.
+/// Low bits of a leaf number that select the entry within a block: a change copies at most 128
+/// pointers.
 const BLOCK_BITS: u32 = 7;
 
-/// Leaves whose numbers have the same upper bits.
+/// Leaves whose numbers have the same high bits.
 type Block = BTreeMap<LeafId, Arc<Leaf>>;
 
-/// Leaves by number. A copy costs one pointer for each block; written as a map.
+/// Leaves by number. A clone copies one pointer per block; serialized as a plain map.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "BTreeMap<LeafId, Arc<Leaf>>", into = "BTreeMap<LeafId, Arc<Leaf>>")]
 pub struct LeafMap {
-    /// No block is empty.
+    /// Blocks by the high bits of their leaf numbers; none is empty.
     blocks: BTreeMap<u32, Arc<Block>>,
 }
 
 impl LeafMap {
-    /// The leaf of this number.
+    /// The leaf with this number.
     pub fn get(&self, id: &LeafId) -> Option<&Arc<Leaf>> {
         self.blocks.get(&block_of(*id))?.get(id)
     }
 
-    /// Whether there is a leaf of this number.
+    /// Whether the map has a leaf with this number.
     pub fn contains_key(&self, id: &LeafId) -> bool {
         self.get(id).is_some()
     }
 
-    /// All leaves by number.
+    /// All leaves with their numbers, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (&LeafId, &Arc<Leaf>)> {
         self.blocks.values().flat_map(|block| block.iter())
     }
 
-    /// All numbers.
+    /// All leaf numbers, in ascending order.
     pub fn keys(&self) -> impl Iterator<Item = &LeafId> {
         self.iter().map(|(id, _)| id)
     }
 
-    /// All leaves, by number.
+    /// All leaves, in ascending order of their numbers.
     pub fn values(&self) -> impl Iterator<Item = &Arc<Leaf>> {
         self.iter().map(|(_, leaf)| leaf)
     }
 
-    /// How many leaves there are.
+    /// Number of leaves, summed over all blocks.
     pub fn len(&self) -> usize {
         self.blocks.values().map(|block| block.len()).sum()
     }
 
-    /// Whether there is none.
+    /// Whether the map has no leaves.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Numbers, of both maps, in blocks that this one does not share with `former`: all leaves
-    /// that differ are among them.
+    /// Leaf numbers of both maps in blocks that this map does not share with `former`: a superset
+    /// of the leaves that differ.
     pub fn unshared_with(&self, former: &Self) -> BTreeSet<LeafId> {
         let numbers: BTreeSet<&u32> = self.blocks.keys().chain(former.blocks.keys()).collect();
         let mut unshared = BTreeSet::new();
@@ -101,7 +102,7 @@
     type Output = Arc<Leaf>;
 
     /// # Panics
-    /// When there is no such leaf.
+    /// If the map has no leaf with this number.
     fn index(&self, id: &LeafId) -> &Arc<Leaf> {
         self.get(id).expect("the catalog has the leaf")
     }
--- a/crates/domain/src/catalog/member.rs
+++ b/crates/domain/src/catalog/member.rs
@@ -1,4 +1,4 @@
-//! What operators want of brokers and control processes.
+//! Membership of brokers and control processes.
 
 use std::net::SocketAddr;
 
@@ -7,26 +7,26 @@
 use super::Placement;
 use crate::identifiers::ControlName;
 
-/// What operators want of a process of the tier.
+/// State of a broker or control process as set by operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Takes part.
+    /// Full member of the cluster.
     Active,
-    /// Takes no new work; what is in flight finishes.
+    /// Takes no new work; work in flight finishes.
     Draining,
-    /// Does not belong to the cluster any more.
+    /// No longer a member of the cluster.
     Removed,
 }
 
 /// A control process as configured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlMember {
-    /// Its name.
+    /// Name of the process; never reused after removal.
     pub name: ControlName,
-    /// Where other control processes reach it.
+    /// Address at which other control processes connect to it.
     pub address: SocketAddr,
-    /// Its place.
+    /// Region and zone in which the process runs.
     pub placement: Placement,
-    /// What operators want of it.
+    /// State as set by operators.
     pub state: MemberState,
 }
--- a/crates/domain/src/catalog/mod.rs
+++ b/crates/domain/src/catalog/mod.rs
@@ -29,8 +29,8 @@
 
 /// The whole configuration at one revision.
 ///
-/// Services and leaves are shared between a catalog and its copies, so that a copy costs little
-/// and what a change touched is told apart by its identity.
+/// Clones share services and leaves, so cloning is cheap, and parts that a change left untouched
+/// are recognized by pointer equality.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
     revision: Revision,
@@ -44,7 +44,7 @@
 }
 
 impl Catalog {
-    /// The revision that the last accepted change gave.
+    /// The revision, incremented by each accepted change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -59,37 +59,37 @@
         &self.leaves
     }
 
-    /// All callers' accounts by name.
+    /// All accounts by the name of their caller.
     pub fn callers(&self) -> &BTreeMap<CallerName, CallerAccount> {
         &self.callers
     }
 
-    /// Brokers of which operators want something.
+    /// Brokers whose state operators have set.
     pub fn brokers(&self) -> &BTreeMap<BrokerName, MemberState> {
         &self.brokers
     }
 
-    /// What operators want of a broker; active when they said nothing.
+    /// State of a broker; active unless operators have set another one.
     pub fn broker_state(&self, broker: &BrokerName) -> MemberState {
         self.brokers.get(broker).copied().unwrap_or(MemberState::Active)
     }
 
-    /// Control processes that operators added.
+    /// Control processes that operators added, including removed ones.
     pub fn controls(&self) -> &BTreeMap<ControlName, ControlMember> {
         &self.controls
     }
 
-    /// Zones whose leaves get no new work.
+    /// Evacuated zones, whose leaves get no new work.
     pub fn evacuated(&self) -> &BTreeSet<ZoneName> {
         &self.evacuated
     }
 
-    /// Moves of services to other software versions.
+    /// Roll-outs of software versions by service.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// Applies `change` and moves to the next revision.
+    /// Applies `change` and increments the revision.
     ///
     /// # Errors
     /// A [`CatalogError`] that names the remedy; the catalog is then unchanged.
@@ -127,7 +127,7 @@
                 self.control_mut(control)?.state = MemberState::Removed
             }
             Change::EvacuateZone(zone) => self.evacuate(zone)?,
-            // The same order may come twice, and after its opposite: it says what is wanted now.
+            // Idempotent: an order to evacuate or restore may be repeated.
             Change::RestoreZone(zone) => {
                 self.evacuated.remove(zone);
             }
@@ -135,7 +135,7 @@
                 self.rollouts.begin(order, Revision(self.revision.0 + 1))?
             }
             Change::AdvanceRollout(step) => self.rollouts.advance(step)?,
-            // It is kept beside the catalog, which brokers do not need it for.
+            // Refused requests are stored outside the catalog, since brokers get them separately.
             Change::ReleaseRequest(_) => {}
         }
         self.revision.0 += 1;
@@ -158,15 +158,15 @@
     fn remove_leaf(&mut self, leaf: LeafId) -> Result<(), CatalogError> {
         self.leaf_mut(leaf)?;
         self.leaves.remove(&leaf);
-        for service in self.services.values_mut().filter(|service| service.names_leaf(leaf)) {
-            Arc::make_mut(service).forget_leaf(leaf);
+        for service in self.services.values_mut().filter(|service| service.lists_leaf(leaf)) {
+            Arc::make_mut(service).remove_leaf(leaf);
         }
         Ok(())
     }
 
     fn define_service(&mut self, name: &ServiceName, concurrency: u32) -> Result<(), CatalogError> {
         if concurrency == 0 {
-            return Err(bad_number("concurrency", 0, "use a number from 1"));
+            return Err(number_error("concurrency", 0, "use a number from 1"));
         }
         let service =
             self.services.entry(name.clone()).or_insert_with(|| Service::new(concurrency).into());
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// A name is never used again: a machine whose disk was lost has forgotten how it voted.
+    /// Names are never reused: a process whose disk was lost no longer knows its votes.
     fn add_control(&mut self, control: &ControlMember) -> Result<(), CatalogError> {
         if self.controls.contains_key(&control.name) {
             return Err(CatalogError::ControlExists(control.name.clone()));
@@ -268,7 +268,7 @@
         }
         if shard.0 >= SHARD_LIMIT {
             let remedy = format!("use a number below {SHARD_LIMIT}");
-            return Err(bad_number("shard", shard.0, &remedy));
+            return Err(number_error("shard", shard.0, &remedy));
         }
         self.service_mut(service)?.assign_shard(shard, leaves);
         Ok(())
@@ -278,7 +278,7 @@
         let service = self.service_mut(service)?;
         if !(1..=SHARD_LIMIT).contains(&shards) {
             let remedy = format!("use a number from 1 to {SHARD_LIMIT}");
-            return Err(bad_number("shards", shards, &remedy));
+            return Err(number_error("shards", shards, &remedy));
         }
         let epoch = PartitionEpoch(service.newest_epoch().0 + 1);
         service.add_partition(PartitionMap::empty(epoch, shards));
@@ -295,15 +295,15 @@
     }
 }
 
-fn bad_number(field: &str, value: u32, remedy: &str) -> CatalogError {
+fn number_error(field: &str, value: u32, remedy: &str) -> CatalogError {
     CatalogError::BadNumber(field.to_owned(), value.into(), remedy.to_owned())
 }
 
-/// Zones that may be evacuated at the same time: far more than there are, and few enough to hold.
+/// Maximum number of evacuated zones: well above the number of zones, and bounded in memory.
 const EVACUATION_LIMIT: usize = 1_024;
 
-/// Shards that a service may have.
+/// Maximum number of shards of a service.
 const SHARD_LIMIT: u32 = 4096;
 
-/// The index version before any is published.
+/// The index version before the first publication.
 pub const NO_VERSION: IndexVersion = IndexVersion(0);
--- a/crates/domain/src/catalog/service.rs
+++ b/crates/domain/src/catalog/service.rs
@@ -1,4 +1,4 @@
-//! A service: its classes, its partition maps and its published snapshot.
+//! A service: its classes, partition maps and published snapshots.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 use super::{CatalogError, NO_VERSION};
 use crate::identifiers::{ClassName, IndexVersion, LeafId, PartitionEpoch, ShardId, Snapshot};
 
-/// Published snapshots that are kept, so that queries in flight can go on and brokers can fall
-/// back while leaves load the newest.
+/// Number of published snapshots that are retained, so that queries in flight can finish and
+/// brokers can fall back while leaves load the newest one.
 const RETAINED_SNAPSHOTS: usize = 3;
 
-/// When a query of a class is answered.
+/// When a query of a class gets its reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerPolicy {
-    /// Waits for every shard until the deadline.
+    /// Wait for all shards until the deadline.
     Full,
-    /// Answers with what there is once `soft_deadline` has passed since arrival.
+    /// Reply with the available shards once `soft_deadline` has passed since arrival.
     Partial {
-        /// Time from arrival until a partial answer is given.
+        /// Time from arrival to a partial reply.
         soft_deadline: Duration,
     },
 }
@@ -28,50 +28,50 @@
 /// How a service treats one class of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassPolicy {
-    /// Name of the class.
+    /// Name of the class, unique within the service.
     pub name: ClassName,
-    /// Rank of the class; 0 is served first.
+    /// Priority of the class, unique within the service; 0 is the highest.
     pub priority: u8,
-    /// Queries of this class that may wait in one broker.
+    /// Maximum number of queries of this class in one broker's queue.
     pub queue_limit: u32,
-    /// Charge for one answered request, in the operators' unit.
+    /// Charge for one answered request, in the operator's unit.
     pub price: u64,
-    /// When a query is answered.
+    /// Whether a query may get a partial reply.
     pub answer_policy: AnswerPolicy,
-    /// Deadline of a request that names none.
+    /// Deadline of requests that state none.
     pub default_deadline: Duration,
 }
 
-/// A caller's account.
+/// Budget of a caller, as a token bucket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerAccount {
-    /// What the caller may spend per second at one broker, in the unit of prices.
+    /// Refill rate per second at one broker, in the unit of prices.
     pub budget_per_second: u64,
-    /// What an idle caller may save up and spend at once.
+    /// Capacity of the bucket: what an idle caller can accumulate and spend at once.
     pub burst: u64,
 }
 
-/// Which leaves hold which shard, at one epoch.
+/// Assignment of shards to leaves at one epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionMap {
-    /// Epoch of this map.
+    /// Epoch of the map, incremented by each repartition.
     pub epoch: PartitionEpoch,
     /// Replicas of each shard.
     pub shards: BTreeMap<ShardId, Arc<Vec<LeafId>>>,
 }
 
 impl PartitionMap {
-    /// A map of `shards` shards without replicas.
+    /// Creates a map of `shards` shards without replicas.
     pub fn empty(epoch: PartitionEpoch, shards: u32) -> Self {
         let shards = (0..shards).map(|number| (ShardId(number), Arc::default())).collect();
         Self { epoch, shards }
     }
 
-    fn names_leaf(&self, leaf: LeafId) -> bool {
+    fn lists_leaf(&self, leaf: LeafId) -> bool {
         self.shards.values().any(|leaves| leaves.contains(&leaf))
     }
 
-    /// Shards that no leaf holds.
+    /// Shards without replicas.
     pub fn unassigned(&self) -> impl Iterator<Item = ShardId> + '_ {
         self.shards.iter().filter(|(_, leaves)| leaves.is_empty()).map(|(shard, _)| *shard)
     }
@@ -80,7 +80,7 @@
 /// One service as configured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Queries that one broker runs at the same time.
+    /// Maximum number of queries that one broker runs concurrently.
     pub concurrency: u32,
     classes: Vec<ClassPolicy>,
     partitions: Vec<Arc<PartitionMap>>,
@@ -88,7 +88,7 @@
 }
 
 impl Service {
-    /// A service without classes, shards or a published version.
+    /// Creates a service without classes, shards or published versions.
     pub fn new(concurrency: u32) -> Self {
         Self {
             concurrency,
@@ -108,17 +108,17 @@
         self.classes.iter().find(|class| &class.name == name)
     }
 
-    /// The snapshot that new queries read, if one is published.
+    /// The snapshot that new queries read, or `None` before the first publication.
     pub fn published(&self) -> Option<Snapshot> {
         self.published.first().copied()
     }
 
-    /// Published snapshots that are retained, newest first.
+    /// The retained published snapshots, newest first.
     pub fn published_snapshots(&self) -> &[Snapshot] {
         &self.published
     }
 
-    /// The partition map of an epoch, while it is retained.
+    /// The partition map of an epoch, if it is retained.
     pub fn partition(&self, epoch: PartitionEpoch) -> Option<&Arc<PartitionMap>> {
         self.partitions.iter().find(|map| map.epoch == epoch)
     }
@@ -134,12 +134,12 @@
     }
 
     pub(super) fn define_class(&mut self, policy: ClassPolicy) -> Result<(), CatalogError> {
-        let rival = self
+        let conflicting = self
             .classes
             .iter()
             .find(|class| class.priority == policy.priority && class.name != policy.name);
-        if let Some(rival) = rival {
-            return Err(CatalogError::PriorityTaken(policy.priority, rival.name.clone()));
+        if let Some(conflicting) = conflicting {
+            return Err(CatalogError::PriorityTaken(policy.priority, conflicting.name.clone()));
         }
         self.classes.retain(|class| class.name != policy.name);
         self.classes.push(policy);
@@ -147,14 +147,14 @@
         Ok(())
     }
 
-    /// Whether there was such a class.
+    /// Returns whether the class existed.
     pub(super) fn remove_class(&mut self, name: &ClassName) -> bool {
         let before = self.classes.len();
         self.classes.retain(|class| &class.name != name);
         self.classes.len() < before
     }
 
-    /// Whether there is such a class.
+    /// Returns whether the class exists.
     pub(super) fn set_price(&mut self, name: &ClassName, price: u64) -> bool {
         let class = self.classes.iter_mut().find(|class| &class.name == name);
         class.map(|class| class.price = price).is_some()
@@ -166,7 +166,7 @@
 
     pub(super) fn add_partition(&mut self, map: PartitionMap) {
         self.partitions.push(Arc::new(map));
-        self.forget_unused_partitions();
+        self.drop_unused_partitions();
     }
 
     pub(super) fn publish(&mut self, version: IndexVersion) -> Result<(), CatalogError> {
@@ -181,17 +181,17 @@
         }
         self.published.insert(0, Snapshot { epoch: self.newest_epoch(), version });
         self.published.truncate(RETAINED_SNAPSHOTS);
-        self.forget_unused_partitions();
+        self.drop_unused_partitions();
         Ok(())
     }
 
-    /// Whether some retained map names the leaf.
-    pub(super) fn names_leaf(&self, leaf: LeafId) -> bool {
-        self.partitions.iter().any(|map| map.names_leaf(leaf))
+    /// Whether any retained map lists the leaf.
+    pub(super) fn lists_leaf(&self, leaf: LeafId) -> bool {
+        self.partitions.iter().any(|map| map.lists_leaf(leaf))
     }
 
-    pub(super) fn forget_leaf(&mut self, leaf: LeafId) {
-        for map in self.partitions.iter_mut().filter(|map| map.names_leaf(leaf)) {
+    pub(super) fn remove_leaf(&mut self, leaf: LeafId) {
+        for map in self.partitions.iter_mut().filter(|map| map.lists_leaf(leaf)) {
             let shards = Arc::make_mut(map).shards.values_mut();
             for leaves in shards.filter(|leaves| leaves.contains(&leaf)) {
                 Arc::make_mut(leaves).retain(|candidate| *candidate != leaf);
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Keeps the newest map and those that a retained snapshot names.
-    fn forget_unused_partitions(&mut self) {
+    /// Drops all maps but the newest one and those of retained snapshots.
+    fn drop_unused_partitions(&mut self) {
         let newest = self.newest_epoch();
         let published = &self.published;
         self.partitions.retain(|map| {
