--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Framing: a length and a body.
+//! Length-prefixed framing.
 
 use std::io::Cursor;
 use std::marker::PhantomData;
@@ -10,12 +10,13 @@
 
 use crate::ProtocolError;
 
-/// Bytes of the length before each body.
+/// Size of the length prefix in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Largest body that is accepted: a full catalog of the largest planned cluster with room.
+/// Maximum size of a frame body in bytes: the full catalog of the largest planned cluster, with
+/// headroom.
 pub const MAXIMUM_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// A message that travels in a frame of its own.
+/// A message that is sent as one frame.
 pub trait Frame:
     for<'a> BinRead<Args<'a> = ()> + ReadEndian + for<'a> BinWrite<Args<'a> = ()> + WriteEndian
 {
@@ -26,10 +27,11 @@
 {
 }
 
-/// Lays a message out as one frame.
+/// Encodes a message as one frame.
 ///
 /// # Errors
-/// [`ProtocolError`] when the message exceeds the largest frame.
+/// [`ProtocolError::FrameTooLarge`] if the message exceeds [`MAXIMUM_FRAME_BYTES`], and
+/// [`ProtocolError::Malformed`] if it cannot be encoded.
 pub fn encode_frame<M: Frame>(message: &M) -> Result<Vec<u8>, ProtocolError> {
     let mut cursor = Cursor::new(vec![0; LENGTH_BYTES]);
     cursor.set_position(LENGTH_BYTES as u64);
@@ -48,7 +50,7 @@
     Ok(())
 }
 
-/// Decodes frames of one kind of message.
+/// Decodes frames of one message type.
 pub struct FrameCodec<M> {
     message: PhantomData<M>,
 }
@@ -69,18 +71,18 @@
         };
         let length = u32::from_be_bytes(*header) as usize;
         check_length(length)?;
-        let whole = LENGTH_BYTES + length;
-        if source.len() < whole {
-            return Ok(Decoded::InsufficientAtLeast(whole));
+        let frame_length = LENGTH_BYTES + length;
+        if source.len() < frame_length {
+            return Ok(Decoded::InsufficientAtLeast(frame_length));
         }
-        let body = &source[LENGTH_BYTES..whole];
+        let body = &source[LENGTH_BYTES..frame_length];
         let mut cursor = Cursor::new(body);
         let message =
             M::read(&mut cursor).map_err(|error| ProtocolError::Malformed(error.to_string()))?;
         if cursor.position() as usize != length {
             return Err(ProtocolError::Malformed("bytes after the message".into()));
         }
-        source.advance(whole);
+        source.advance(frame_length);
         Ok(Decoded::Some(message))
     }
 }
--- a/crates/protocol/src/document.rs
+++ b/crates/protocol/src/document.rs
@@ -1,7 +1,7 @@
-//! Documents inside frames and on disk.
+//! Serialization of documents in frames and on disk.
 //!
-//! A packed document says in its first byte whether the rest is compressed. Whole configurations
-//! repeat the same names hundreds of times and shrink to a tenth.
+//! The first byte of a packed document tells whether the rest is compressed. Full configurations
+//! repeat the same names hundreds of times and compress to a tenth of their size.
 
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
@@ -11,16 +11,16 @@
 use crate::ProtocolError;
 use crate::codec::MAXIMUM_FRAME_BYTES;
 
-/// First byte of a packed document that is not compressed.
+/// First byte of an uncompressed packed document.
 const PLAIN: u8 = 0;
-/// First byte of one that is.
+/// First byte of a compressed packed document.
 const COMPRESSED: u8 = 1;
-/// Bytes from which a document is compressed.
+/// Minimum size in bytes of a document that is compressed.
 const COMPRESS_FROM: usize = 1_024;
-/// Effort of the compression, from 0 to 10: small documents do not gain by more.
+/// Compression level from 0 to 10; higher levels do not shrink small documents further.
 const COMPRESSION_LEVEL: u8 = 3;
 
-/// Serializes a document.
+/// Serializes a document as `postcard`.
 ///
 /// # Errors
 /// [`ProtocolError::Document`] when the type cannot be serialized.
@@ -28,15 +28,15 @@
     postcard::to_allocvec(document).map_err(|error| ProtocolError::Document(error.to_string()))
 }
 
-/// Reads a document back.
+/// Deserializes a document from `postcard`.
 ///
 /// # Errors
-/// [`ProtocolError::Document`] when the bytes are not such a document.
+/// [`ProtocolError::Document`] if the bytes are not a document of this type.
 pub fn decode_document<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, ProtocolError> {
     postcard::from_bytes(bytes).map_err(|error| ProtocolError::Document(error.to_string()))
 }
 
-/// Serializes a document, and compresses it when it is large.
+/// Serializes a document and compresses it if it has at least [`COMPRESS_FROM`] bytes.
 ///
 /// # Errors
 /// [`ProtocolError::Document`] when the type cannot be serialized.
@@ -52,11 +52,11 @@
     Ok(packed)
 }
 
-/// Reads a packed document back.
+/// Deserializes a packed document.
 ///
 /// # Errors
-/// [`ProtocolError::Document`] when the bytes are not such a document, or one that is larger than
-/// the largest frame.
+/// [`ProtocolError::Document`] if the bytes are not a document of this type, or if it exceeds
+/// [`MAXIMUM_FRAME_BYTES`] when decompressed.
 pub fn unpack_document<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, ProtocolError> {
     match bytes.split_first() {
         Some((&PLAIN, plain)) => decode_document(plain),
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,30 +1,30 @@
-//! Ways in which a frame is not understood.
+//! Errors of a connection between gingerkeel processes.
 
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A frame that is not understood; the connection is of no further use.
+    /// A connection failed or a frame cannot be decoded; the connection has to be closed.
     #[derive(Debug)]
     pub enum ProtocolError {
-        /// The frame announces more bytes than allowed.
+        /// The length prefix of a frame exceeds the limit.
         FrameTooLarge(announced: usize, limit: usize) {
             display("a frame of {announced} bytes exceeds {limit}: check that the peer is a gingerkeel process")
         }
-        /// The bytes are not a frame of the expected kind.
+        /// The bytes are not a frame of the expected type.
         Malformed(reason: String) {
             display("not a frame of the expected kind ({reason}): run the same release at both ends")
         }
-        /// The document inside a frame is not understood.
+        /// A document cannot be encoded or decoded.
         Document(reason: String) {
             display("a document is not understood ({reason}): run the same release at both ends")
         }
-        /// The peer did not do in time what it had to.
+        /// The peer exceeded a time limit.
         TimedOut(what: &'static str) {
             display("the peer is silent ({what}): check that it runs and is reachable")
         }
-        /// The socket failed.
+        /// An operation on the socket failed.
         Socket(error: io::Error) {
             from()
             source(error)
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -1,4 +1,4 @@
-//! The feed from a control process to a broker, and what the broker reports on it.
+//! Messages of the feed between a control process and a broker, in both directions.
 
 use binrw::binrw;
 
@@ -12,70 +12,70 @@
     /// Opens the feed.
     #[brw(magic = 1u8)]
     Subscribe {
-        /// Version of the frames that the broker speaks.
+        /// Protocol version of the broker.
         protocol_version: u16,
-        /// Number of the broker's run, drawn at its start.
+        /// Random identifier of the broker's run, drawn at its start.
         run: u64,
-        /// Revision of the catalog that the broker holds; 0 for none.
+        /// Revision of the catalog that the broker holds; 0 if it holds none.
         revision: u64,
         /// Name of the broker.
         broker: ShortText,
-        /// Region in which it runs.
+        /// Region in which the broker runs.
         region: ShortText,
-        /// Zone in which it runs.
+        /// Zone in which the broker runs.
         zone: ShortText,
     },
-    /// The broker asks for a freshness lease.
+    /// Requests a freshness lease.
     #[brw(magic = 2u8)]
     Renew {
-        /// Number of the renewal, which the grant repeats.
+        /// Number of the renewal, echoed by the grant.
         ticket: u64,
-        /// The revision that it has in force.
+        /// The revision that the broker has in force.
         in_force: u64,
     },
-    /// The broker has put a revision in force.
+    /// Reports that the broker has put a revision in force.
     #[brw(magic = 3u8)]
     InForce {
         /// The revision.
         revision: u64,
     },
-    /// Charge counters that changed since the last report that was recorded.
+    /// Charge counters that changed since the last recorded report.
     #[brw(magic = 4u8)]
     Charges {
-        /// Number of the report, which the receipt repeats.
+        /// Sequence number of the report, echoed by the receipt.
         sequence: u64,
-        /// The run that counted.
+        /// The run that the counters belong to.
         run: u64,
-        /// The counters by key, as a document.
+        /// The cumulative counters by key, as a document.
         counters: Document,
     },
-    /// Leaves that were slow in the broker's requests.
+    /// Reports leaves that were slow in the broker's requests.
     #[brw(magic = 6u8)]
     SlowLeaves {
-        /// What it saw of each, as a document.
+        /// Observations by leaf, as a document.
         observations: Document,
     },
-    /// Requests under which leaves have ended.
+    /// Reports requests that were in flight at leaves that terminated.
     #[brw(magic = 20u8)]
     CrashFindings {
-        /// What the broker found, as a document.
+        /// The broker's findings, as a document.
         findings: Document,
     },
-    /// The broker asks for a trial of a request that is refused.
+    /// Asks for a trial of a refused request.
     #[brw(magic = 22u8)]
     AskTrial {
-        /// Number of the question, which the answer repeats.
+        /// Number of the question, echoed by the answer.
         ticket: u64,
-        /// What it holds of the request, as a document.
+        /// The broker's finding on the request, as a document.
         finding: Document,
     },
-    /// What tenants used of their quotas since the last such report.
+    /// Tenants' use of their quotas since the last such report.
     #[brw(magic = 7u8)]
     Usage {
         /// The report as a document.
         report: Document,
     },
-    /// What came to light of roll-outs since the last such report.
+    /// Observations of roll-outs since the last such report.
     #[brw(magic = 21u8)]
     Rollouts {
         /// The reports as a document.
@@ -94,7 +94,7 @@
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedMessage {
-    /// The whole catalog.
+    /// The full catalog.
     #[brw(magic = 1u8)]
     FullCatalog {
         /// The catalog as a document.
@@ -103,55 +103,55 @@
     /// One change that takes the catalog from `revision - 1` to `revision`.
     #[brw(magic = 2u8)]
     Change {
-        /// The revision that the change gives.
+        /// The revision that the change results in.
         revision: u64,
         /// The change as a document.
         change: Document,
     },
-    /// The broker cannot be served.
+    /// Rejects the subscription.
     #[brw(magic = 3u8)]
     Refused {
-        /// Version of the frames that the control process speaks.
+        /// Protocol version of the control process.
         protocol_version: u16,
-        /// Why.
+        /// Why the subscription is rejected.
         reason: FeedRefusal,
     },
-    /// A freshness lease.
+    /// Grants a freshness lease.
     #[brw(magic = 4u8)]
     Lease {
-        /// Number of the renewal that asked for it.
+        /// Number of the renewal that requested the lease.
         ticket: u64,
-        /// The revision that was accepted when the renewal came.
+        /// The revision that was accepted when the renewal arrived.
         revision: u64,
-        /// How long it lasts from when it was asked for.
+        /// Duration of the lease, counted from the request.
         duration_milliseconds: u32,
     },
-    /// What changed among the brokers that share the leaves, as a document.
+    /// Changes to the list of brokers that share the leaves.
     #[brw(magic = 5u8)]
     Brokers {
-        /// The delta.
+        /// The delta as a document.
         delta: Document,
     },
-    /// Leaves that said that they are leaving, all of them; a hint.
+    /// The complete list of leaves that reported that they are draining; a hint.
     #[brw(magic = 6u8)]
     Leaving {
-        /// How many.
+        /// Number of leaves that follow.
         #[br(temp)]
         #[bw(calc = leaves.len() as u32)]
         count: u32,
-        /// Their numbers.
+        /// Numbers of the leaves.
         #[br(count = count)]
         leaves: Vec<u32>,
     },
-    /// A report of charges is part of the totals.
+    /// Confirms that a report of charges is part of the cluster's totals.
     #[brw(magic = 7u8)]
     ChargesRecorded {
-        /// The run that counted.
+        /// The run of the report.
         run: u64,
-        /// Number of the report within the run.
+        /// Sequence number of the report within the run.
         sequence: u64,
     },
-    /// The lowest class of a service that brokers admit.
+    /// Sets the lowest class of a service that brokers admit.
     #[brw(magic = 9u8)]
     Threshold {
         /// Name of the service.
@@ -165,74 +165,74 @@
         /// The configuration as a document.
         configuration: Document,
     },
-    /// The whole list of leaves.
+    /// The full list of leaves.
     #[brw(magic = 11u8)]
     WholeDirectory {
         /// The list as a document.
         directory: Document,
     },
-    /// What changed in the list of leaves.
+    /// A change of the list of leaves.
     #[brw(magic = 12u8)]
     DirectoryChange {
         /// The delta as a document.
         delta: Document,
     },
-    /// Where the control processes take brokers' connections.
+    /// Addresses at which the control processes accept brokers' connections.
     #[brw(magic = 13u8)]
     Controls {
         /// The addresses as a document.
         addresses: Document,
     },
-    /// Leaves that many brokers find slow; a hint.
+    /// Leaves that many brokers report as slow; a hint.
     #[brw(magic = 14u8)]
     LeafWarnings {
         /// The warnings as a document.
         warnings: Document,
     },
-    /// Requests under which leaves have ended, as other brokers found; a hint.
+    /// Findings of other brokers on requests that may crash leaves; a hint.
     #[brw(magic = 20u8)]
     CrashFindings {
         /// The findings as a document.
         findings: Document,
     },
-    /// Requests that the replicated state refuses, or does not any more.
+    /// Changes to the replicated set of refused requests.
     #[brw(magic = 22u8)]
     RefusedRequests {
-        /// Whether no others are refused.
+        /// Whether the findings are the complete set.
         #[br(map = |byte: u8| byte != 0)]
         #[bw(map = |whole: &bool| u8::from(*whole))]
         is_whole: bool,
         /// The findings as a document.
         findings: Document,
     },
-    /// The answer to a broker that asked for a trial.
+    /// Answers a broker that asked for a trial.
     #[brw(magic = 23u8)]
     Trial {
         /// Number of the question.
         ticket: u64,
-        /// Whether the broker may send it to one leaf.
+        /// Whether the broker may send the request to one leaf.
         #[br(map = |byte: u8| byte != 0)]
         #[bw(map = |granted: &bool| u8::from(*granted))]
         granted: bool,
     },
-    /// How much of tenants' quotas is left, and which report of this broker that contains.
+    /// Remaining quotas of tenants, and the latest report of this broker that they include.
     #[brw(magic = 15u8)]
     Usage {
         /// The levels as a document.
         usage: Document,
     },
-    /// The run that was reported is settled: the broker counts on in a new one.
+    /// Rejects a report of charges whose run is settled: the broker continues in a new run.
     #[brw(magic = 8u8)]
     RunSettled {
-        /// The run that counted.
+        /// The run of the report.
         run: u64,
-        /// Number of the report within the run.
+        /// Sequence number of the report within the run.
         sequence: u64,
     },
 }
 
 impl FeedMessage {
-    /// What it tells, in one or two words, as logs say it.
+    /// Name of the message type as written to logs.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::FullCatalog { .. } => "full_catalog",
@@ -257,15 +257,15 @@
     }
 }
 
-/// Why a broker is not served.
+/// Why a subscription is rejected.
 #[binrw]
 #[brw(big, repr = u8)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedRefusal {
-    /// The versions of the frames differ.
+    /// The protocol versions differ.
     ProtocolVersion = 1,
-    /// Operators removed the broker.
+    /// The broker was removed from the cluster.
     Removed = 2,
-    /// Its name, region or zone is not UTF-8 or empty.
+    /// The broker's name, region or zone is empty or not UTF-8.
     BadName = 3,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! Frames between gingerkeel's own processes.
+//! Wire protocol between gingerkeel processes.
 //!
-//! A frame is a big-endian `u32` length and that many bytes, which `binrw` lays out. Documents
-//! that are also kept on disk (the catalog and its changes) travel inside a frame as `postcard`.
+//! A frame is a big-endian `u32` length followed by that many bytes, encoded with `binrw`.
+//! Documents that are also stored on disk (the catalog and its changes) are embedded in frames as
+//! `postcard`.
 
 mod codec;
 mod document;
@@ -17,5 +18,5 @@
 pub use peer::{PeerFrame, PeerIdentity, PeerRefusal};
 pub use text::{Document, ShortText};
 
-/// Version of the frames; both ends of a connection must speak the same.
+/// Protocol version; both ends of a connection must have the same one.
 pub const PROTOCOL_VERSION: u16 = 11;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,27 +1,27 @@
 //! Frames between control processes.
 //!
-//! A connection carries messages one way: the process that opened it says who it is, is welcomed
-//! or refused, and then sends. The other end answers probes only.
+//! A connection carries messages in one direction: the process that opened it identifies itself, is
+//! accepted or refused, and then sends. After the handshake the other end only answers probes.
 
 use binrw::binrw;
 
 use crate::text::{Document, ShortText};
 
-/// Longest name of a cluster, in bytes.
+/// Maximum length of a cluster name in bytes.
 const CLUSTER_NAME_LIMIT: usize = 255;
 
-/// Who a control process is.
+/// Identity of a control process.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerIdentity {
-    /// Number of the machine.
+    /// Node number of the control process.
     pub node: u32,
-    /// Number of its data folder.
+    /// Incarnation number of the node's data folder.
     pub incarnation: u64,
-    /// 1 when its log holds entries, 0 when it does not.
+    /// 1 if the node's log has entries, 0 if it is empty.
     pub formed: u8,
-    /// Checksum of the voters that its settings name for a new cluster.
+    /// Checksum of the initial voters in the node's settings.
     pub planned_voters: u32,
 }
 
@@ -30,13 +30,13 @@
 #[brw(big, repr = u8)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRefusal {
-    /// The processes speak different versions of the frames.
+    /// The protocol versions differ.
     ProtocolVersion = 1,
-    /// The processes are of different clusters.
+    /// The processes belong to different clusters.
     Cluster = 2,
-    /// The settings do not name the machine among the peers.
+    /// The node is not among the peers in the settings.
     UnknownPeer = 3,
-    /// The machine has been seen with a later data folder.
+    /// The node has been seen with a later incarnation.
     EarlierIncarnation = 4,
 }
 
@@ -48,41 +48,41 @@
     /// Opens the connection.
     #[brw(magic = 1u8)]
     Hello {
-        /// Version of the frames that the sender speaks.
+        /// Protocol version of the sender.
         protocol_version: u16,
-        /// The sender.
+        /// Identity of the sender.
         identity: PeerIdentity,
         #[br(temp)]
         #[bw(calc = cluster.len().min(CLUSTER_NAME_LIMIT) as u8)]
         cluster_length: u8,
-        /// Name of its cluster, UTF-8, at most 255 bytes.
+        /// Name of the sender's cluster in UTF-8, at most 255 bytes.
         #[br(count = cluster_length)]
         #[bw(map = |name: &Vec<u8>| name[..name.len().min(CLUSTER_NAME_LIMIT)].to_vec())]
         cluster: Vec<u8>,
     },
-    /// The connection is accepted.
+    /// Accepts the connection.
     #[brw(magic = 2u8)]
     Welcome {
-        /// The receiver.
+        /// Identity of the accepting process.
         identity: PeerIdentity,
     },
-    /// The connection is refused.
+    /// Refuses the connection.
     #[brw(magic = 3u8)]
     Refused {
-        /// Why.
+        /// Why the connection is refused.
         reason: PeerRefusal,
     },
-    /// Asks for a sign of life.
+    /// Liveness probe.
     #[brw(magic = 4u8)]
     Probe,
-    /// The sign of life. It says anew who the sender is: a process that had no log when the
-    /// connection was opened may have one since.
+    /// Reply to a probe. Repeats the sender's identity, since a process whose log was empty when
+    /// the connection was opened may have entries by now.
     #[brw(magic = 5u8)]
     ProbeReply {
-        /// The sender.
+        /// Current identity of the sender.
         identity: PeerIdentity,
     },
-    /// A message of the replicated log.
+    /// A message of the consensus protocol.
     #[brw(magic = 6u8)]
     Consensus {
         #[br(temp)]
@@ -92,16 +92,16 @@
         #[br(count = length)]
         document: Vec<u8>,
     },
-    /// What tenants used at the brokers that the sender feeds. It is no part of the log: the newest is
-    /// all that counts, and a lost one is made good by the next.
+    /// Tenants' use of their quotas at the brokers that the sender feeds. Not replicated through
+    /// the log: only the newest report counts, and the next one makes up for a lost one.
     #[brw(magic = 7u8)]
     Usage {
-        /// Name of the sender, by which the replicated state knows whom it feeds.
+        /// Name of the sender, under which the replicated state lists the brokers that it feeds.
         control: ShortText,
         /// The totals as a document.
         usage: Document,
     },
-    /// Leaves that the sender warned its brokers of; no part of the log.
+    /// Leaf warnings that the sender passed to its brokers. Not replicated through the log.
     #[brw(magic = 8u8)]
     LeafWarnings {
         /// The warnings as a document.
--- a/crates/protocol/src/text.rs
+++ b/crates/protocol/src/text.rs
@@ -1,12 +1,12 @@
-//! Texts and documents inside frames.
+//! Strings and documents embedded in frames.
 
 use binrw::binrw;
 use bytes::Bytes;
 
-/// Longest text, in bytes.
+/// Maximum length of a text in bytes.
 const TEXT_LIMIT: usize = 255;
 
-/// A text of at most 255 bytes; longer ones are cut.
+/// A text of at most 255 bytes, with a length prefix of one byte.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,19 +19,19 @@
 }
 
 impl ShortText {
-    /// A text, cut at 255 bytes.
+    /// Creates a text; longer ones are truncated to 255 bytes.
     pub fn new(text: &str) -> Self {
         let bytes = text.as_bytes();
         Self { bytes: bytes[..bytes.len().min(TEXT_LIMIT)].to_vec() }
     }
 
-    /// The text; none when it is empty or not UTF-8.
+    /// The text, or `None` if it is empty or not UTF-8.
     pub fn text(&self) -> Option<&str> {
         std::str::from_utf8(&self.bytes).ok().filter(|text| !text.is_empty())
     }
 }
 
-/// Bytes of a document.
+/// An embedded document, with a length prefix of four bytes.
 #[binrw]
 #[brw(big)]
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,8 +39,8 @@
     #[br(temp)]
     #[bw(calc = bytes.len() as u32)]
     length: u32,
-    /// The bytes, as [`crate::encode_document`] or [`crate::pack_document`] gives them; shared by all messages that
-    /// carry them, since hundreds of brokers get the same ones at once.
+    /// Output of [`crate::encode_document`] or [`crate::pack_document`]. Reference-counted, since
+    /// the same document is sent to hundreds of brokers at once.
     #[br(count = length, map = |bytes: Vec<u8>| Bytes::from(bytes))]
     #[bw(map = |bytes: &Bytes| bytes.to_vec())]
     pub bytes: Bytes,
