--- a/crates/statement/src/error.rs
+++ b/crates/statement/src/error.rs
@@ -1,28 +1,28 @@
-//! Reasons why a text is not a statement.
+//! Parse errors.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A text that is not a statement.
+    /// Why a text cannot be parsed; positions are lines and columns, counted from 1.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum StatementError {
         /// The text does not follow the grammar.
         Syntax(line: usize, column: usize, expected: String) {
             display("line {line}, column {column}: {expected}; see gingerkeel --help for the statements")
         }
-        /// A number is too large for its place.
+        /// A number is too large for its field.
         OutOfRange(line: usize, column: usize, text: String) {
             display("line {line}, column {column}: {text} is too large here: use a smaller number")
         }
-        /// An address is not an IP number and a port.
+        /// An address is not an IP address and port.
         BadAddress(line: usize, column: usize, text: String) {
             display("line {line}, column {column}: {text} is not an address: write it as 10.0.0.1:9000")
         }
-        /// A name is too long.
+        /// A name exceeds the length limit.
         NameTooLong(line: usize, column: usize, length: usize, limit: usize) {
             display("line {line}, column {column}: a name of {length} characters exceeds {limit}: use a shorter name")
         }
-        /// The text is longer than allowed.
+        /// The whole text exceeds the size limit.
         TooLong(length: usize, limit: usize) {
             display("a text of {length} bytes exceeds {limit}: split it into several")
         }
@@ -30,7 +30,7 @@
 }
 
 impl StatementError {
-    /// Line and column of the fault, from 1; none when it lies with the text as a whole.
+    /// Line and column of the error, counted from 1; `None` if the error concerns the whole text.
     pub fn place(&self) -> Option<(usize, usize)> {
         match self {
             Self::Syntax(line, column, _)
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The faulty line of `text` with a mark below the fault; none without a place.
+    /// The line of `text` with the error and a caret below its column; `None` without a position.
     pub fn excerpt(&self, text: &str) -> Option<String> {
         let (line, column) = self.place()?;
         let faulty = text.lines().nth(line - 1)?;
--- a/crates/statement/src/fields.rs
+++ b/crates/statement/src/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a statement as typed values.
+//! Conversion of the fields of a parsed statement to typed values.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -17,16 +17,16 @@
 use crate::StatementError;
 use crate::parse::{Rule, is_keyword};
 
-/// Longest name, in characters.
+/// Maximum length of a name in characters.
 const NAME_LIMIT: usize = 64;
 
-/// The fields of a statement, in the order of the grammar.
+/// Iterator over the fields of a statement, in the order of the grammar.
 pub struct Fields<'text> {
     pairs: std::vec::IntoIter<Pair<'text, Rule>>,
 }
 
 impl<'text> Fields<'text> {
-    /// The fields of a statement without its keywords.
+    /// Collects the fields of a statement, skipping keywords.
     pub fn of(statement: Pair<'text, Rule>) -> Self {
         let fields = statement.into_inner().filter(|pair| !is_keyword(pair.as_rule()));
         Self { pairs: fields.collect::<Vec<_>>().into_iter() }
@@ -100,17 +100,18 @@
             priority: self.number()?,
             queue_limit: self.number()?,
             price: self.number()?,
-            default_deadline: self.span()?,
+            default_deadline: self.duration()?,
             answer_policy: self.answer_policy()?,
         };
         Ok(Change::DefineClass { service, policy })
     }
 
-    /// The order of a roll-out. The control process that takes it adds the time and the limit of its settings.
+    /// A roll-out order. The control process that accepts it fills in the time and the exposure
+    /// limit of its settings.
     pub fn rollout(&mut self) -> Result<Change, StatementError> {
         let target = SoftwareVersion::new(self.name()?);
         let service = self.service()?;
-        let duration_ms = u64::try_from(self.span()?.as_millis()).unwrap_or(u64::MAX);
+        let duration_ms = u64::try_from(self.duration()?.as_millis()).unwrap_or(u64::MAX);
         let limit = ExposureLimit::default();
         Ok(Change::BeginRollout(RolloutOrder {
             service,
@@ -121,7 +122,7 @@
         }))
     }
 
-    /// The digest of a request.
+    /// The digest of a request, as 16 hexadecimal digits.
     pub fn digest(&mut self) -> Result<RequestDigest, StatementError> {
         let pair = self.next();
         let (line, column) = pair.line_col();
@@ -141,16 +142,16 @@
         text.parse().map_err(|_| StatementError::BadAddress(line, column, text.to_owned()))
     }
 
-    fn span(&mut self) -> Result<Duration, StatementError> {
-        span(&self.next())
+    fn duration(&mut self) -> Result<Duration, StatementError> {
+        duration(&self.next())
     }
 
     fn answer_policy(&mut self) -> Result<AnswerPolicy, StatementError> {
         let policy = self.next().into_inner().next().expect("a policy has one form");
         match policy.as_rule() {
             Rule::partial => {
-                let last = policy.into_inner().last().expect("a span follows");
-                let soft_deadline = span(&last)?;
+                let last = policy.into_inner().last().expect("a duration follows");
+                let soft_deadline = duration(&last)?;
                 Ok(AnswerPolicy::Partial { soft_deadline })
             }
             _ => Ok(AnswerPolicy::Full),
@@ -173,7 +174,7 @@
     text.parse().map_err(|_| StatementError::OutOfRange(line, column, text.to_owned()))
 }
 
-fn span(pair: &Pair<'_, Rule>) -> Result<Duration, StatementError> {
+fn duration(pair: &Pair<'_, Rule>) -> Result<Duration, StatementError> {
     let (line, column) = pair.line_col();
     let text = pair.as_str().to_ascii_lowercase();
     let (digits, seconds) = match text.strip_suffix("ms") {
--- a/crates/statement/src/lib.rs
+++ b/crates/statement/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator statement language: look-ups and changes of the catalog.
+//! The operator statement language: queries and changes of the catalog.
 
 mod error;
 mod fields;
--- a/crates/statement/src/parse.rs
+++ b/crates/statement/src/parse.rs
@@ -1,4 +1,4 @@
-//! From text to statements.
+//! Parser: converts text to statements.
 
 use gingerkeel_domain::catalog::{CallerAccount, Change, LeafState, MemberState};
 use gingerkeel_domain::identifiers::{
@@ -11,17 +11,17 @@
 use crate::fields::Fields;
 use crate::{Statement, StatementError, Subject};
 
-/// The grammar, as shown by `gingerkeel --help`.
+/// The grammar, printed by `gingerkeel --help`.
 pub const GRAMMAR: &str = include_str!("grammar.pest");
 
-/// Longest text that is parsed, in bytes.
+/// Maximum size of a text in bytes.
 pub const TEXT_LIMIT: usize = 256 * 1024;
-/// What the names of keyword rules start with.
+/// Name prefix of keyword rules in the grammar.
 const KEYWORD_PREFIX: &str = "kw_";
 
 #[allow(missing_docs)]
 mod grammar {
-    /// The parser that the grammar generates.
+    /// The parser that `pest` generates from the grammar.
     #[derive(pest_derive::Parser)]
     #[grammar = "grammar.pest"]
     pub struct Grammar;
@@ -33,7 +33,7 @@
 /// Parses a text of statements separated by `;`.
 ///
 /// # Errors
-/// A [`StatementError`] with the line and column of the fault.
+/// A [`StatementError`] with the line and column of the error, where it has one.
 pub fn parse(text: &str) -> Result<Vec<Statement>, StatementError> {
     if text.len() > TEXT_LIMIT {
         return Err(StatementError::TooLong(text.len(), TEXT_LIMIT));
@@ -58,7 +58,7 @@
     StatementError::Syntax(line, column, expected)
 }
 
-/// A rule as operators know it: a keyword in capitals, anything else in words.
+/// Name of a rule in error messages: keywords in capitals, other rules with spaces.
 fn rule_name(rule: Rule) -> String {
     let name = format!("{rule:?}");
     match name.strip_prefix(KEYWORD_PREFIX) {
@@ -160,7 +160,7 @@
     })
 }
 
-/// Changes of brokers, control processes and zones.
+/// Converts changes of brokers, control processes and zones.
 fn member_change(rule: Rule, mut fields: Fields<'_>) -> Result<Change, StatementError> {
     Ok(match rule {
         Rule::add_broker => Change::AddBroker { broker: fields.broker()? },
--- a/crates/statement/src/print.rs
+++ b/crates/statement/src/print.rs
@@ -1,4 +1,4 @@
-//! From statements back to text, in the form that `parse` understands.
+//! Printer: converts statements to text that `parse` accepts.
 
 use std::fmt::{Display, Formatter, Result};
 use std::time::Duration;
@@ -111,7 +111,8 @@
             write!(out, "ROLL OUT VERSION {target} OF {service} WITHIN {within}ms")
         }
         Change::ReleaseRequest(digest) => write!(out, "RELEASE REQUEST {digest}"),
-        // Nothing that operators state: control processes decide it.
+        // Not an operator statement: control processes issue this change, so it prints as a
+        // comment.
         Change::AdvanceRollout(step) => {
             write!(out, "-- roll-out of {} goes on: {}", step.service, step.stage.as_str())
         }
@@ -153,17 +154,17 @@
         "DEFINE CLASS {} OF {service} PRIORITY {} QUEUE {} PRICE {} DEADLINE ",
         policy.name, policy.priority, policy.queue_limit, policy.price
     )?;
-    print_span(out, policy.default_deadline)?;
+    print_duration(out, policy.default_deadline)?;
     match policy.answer_policy {
         AnswerPolicy::Full => out.write_str(" FULL"),
         AnswerPolicy::Partial { soft_deadline } => {
             out.write_str(" PARTIAL AFTER ")?;
-            print_span(out, soft_deadline)
+            print_duration(out, soft_deadline)
         }
     }
 }
 
-fn print_span(out: &mut Formatter<'_>, span: Duration) -> Result {
+fn print_duration(out: &mut Formatter<'_>, span: Duration) -> Result {
     write!(out, "{}ms", span.as_millis())
 }
 
--- a/crates/statement/src/reply.rs
+++ b/crates/statement/src/reply.rs
@@ -1,4 +1,4 @@
-//! What operators are told, as JSON between a control process and the command line.
+//! Replies to operators, sent as JSON from a control process to the command line.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,59 +8,59 @@
 pub enum StatementReply {
     /// The change was accepted.
     Accepted {
-        /// Revision of the catalog that it gave.
+        /// Revision of the catalog that the change resulted in.
         revision: u64,
     },
-    /// A look-up.
+    /// Result of a `SHOW` statement.
     Table {
-        /// Names of the columns.
+        /// Column headings.
         columns: Vec<String>,
-        /// Cells, a row each.
+        /// Cells by row; each row has one cell per column.
         rows: Vec<Vec<String>>,
     },
-    /// Nobody knows yet whether the change is accepted; sent again under the same session and
-    /// sequence number it gets its one outcome.
+    /// The outcome is not known yet. The same statement, sent again with the same session and
+    /// sequence number, is applied at most once and gets its final outcome.
     Unknown {
-        /// Why, with the remedy.
+        /// Why the outcome is unknown, with the remedy.
         error: String,
     },
-    /// The statement was refused; later ones of the same text were not carried out.
+    /// The statement was refused; later statements of the same text were not executed.
     Refused {
-        /// Why, with the remedy.
+        /// Why the statement was refused, with the remedy.
         error: String,
     },
 }
 
 impl StatementReply {
-    /// Whether later statements of the same text are not carried out.
+    /// Whether this reply stops the execution of later statements of the same text.
     pub fn is_failure(&self) -> bool {
         matches!(self, Self::Refused { .. } | Self::Unknown { .. })
     }
 }
 
-/// Outcomes of a text of statements, in its order.
+/// Outcomes of the statements of one text, in order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatementReplies {
-    /// One outcome for each statement that was looked at.
+    /// One outcome for each statement that was executed, up to the first failure.
     pub replies: Vec<StatementReply>,
 }
 
 impl StatementReplies {
-    /// Whether every statement was carried out.
+    /// Whether all statements succeeded.
     pub fn succeeded(&self) -> bool {
         !self.replies.iter().any(StatementReply::is_failure)
     }
 
-    /// Whether the outcome of the last statement is not known.
+    /// Whether the outcome of the last statement is unknown.
     pub fn is_unknown(&self) -> bool {
         matches!(self.replies.last(), Some(StatementReply::Unknown { .. }))
     }
 }
 
-/// Header of a request that names the operator's session.
+/// Request header with the operator's session.
 pub const SESSION_HEADER: &str = "x-session";
-/// Header of a request that numbers its first change within the session; each further change of
-/// the same text has the next number.
+/// Request header with the sequence number of the text's first change within the session; each
+/// further change of the text has the next number.
 pub const SEQUENCE_HEADER: &str = "x-sequence";
-/// Path to which statements are posted.
+/// Path of the endpoint that accepts statements by `POST`.
 pub const STATEMENTS_PATH: &str = "/v1/statements";
--- a/crates/statement/src/statement.rs
+++ b/crates/statement/src/statement.rs
@@ -1,65 +1,65 @@
-//! Statements as types.
+//! Types of parsed statements.
 
 use gingerkeel_domain::catalog::Change;
 use gingerkeel_domain::identifiers::{CallerName, Revision, ServiceName};
 
-/// What a look-up shows.
+/// Subject of a `SHOW` statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
-    /// Services and their snapshots.
+    /// Services and their published snapshots.
     Services,
-    /// Classes, of one service or of all.
+    /// Classes of one service or of all services.
     Classes(Option<ServiceName>),
     /// Leaves, their states and their health.
     Leaves,
-    /// Callers' accounts.
+    /// Callers and their accounts.
     Callers,
     /// Brokers and the revisions that they have in force.
     Brokers,
-    /// Control processes.
+    /// Control processes and their states.
     Controls,
-    /// Charges by caller and class, of one caller or of all.
+    /// Charges by caller and class, of one caller or of all callers.
     Charges(Option<CallerName>),
     /// Shards and their replicas in the newest partition map.
     Shards(Option<ServiceName>),
-    /// Published index versions that are retained.
+    /// Retained published index versions, of one service or of all services.
     Versions(Option<ServiceName>),
-    /// Routes of the configuration accepted.
+    /// Routes of the accepted configuration.
     Routes,
-    /// Tenants of the configuration accepted.
+    /// Tenants of the accepted configuration.
     Tenants,
-    /// Leaves of the outside directory.
+    /// Leaves of the external directory.
     Directory,
-    /// Zones, whether they are evacuated, and who has that in force.
+    /// Zones: whether they are evacuated, and how many brokers lag behind the latest order.
     Zones,
-    /// Roll-outs, and the answers by which they were decided.
+    /// Roll-outs and the replies that decided them.
     Rollouts,
-    /// Requests that are refused because leaves crash under them.
+    /// Requests that are refused because they crash leaves.
     RefusedRequests,
-    /// The state of the cluster in short.
+    /// Summary of the cluster's state.
     Status,
-    /// The revision accepted, that in force everywhere, and the brokers that lag.
+    /// The accepted revision, the revision in force at all brokers, and the brokers that lag.
     Revision,
-    /// The last accepted changes.
+    /// The most recently accepted changes.
     Changes,
 }
 
 /// One statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Statement {
-    /// A look-up.
+    /// A query that changes nothing.
     Show(Subject),
     /// A change of the catalog.
     Change {
         /// The change.
         change: Change,
-        /// The revision that it was made against, if it names one.
+        /// The revision that the change was made against, if stated; checked for conflicts.
         based_on: Option<Revision>,
     },
 }
 
 impl Statement {
-    /// A change that names no revision.
+    /// Creates a change without a base revision.
     pub fn change(change: Change) -> Self {
         Self::Change { change, based_on: None }
     }
