--- a/crates/domain/tests/charge_reporter.rs
+++ b/crates/domain/tests/charge_reporter.rs
@@ -1,4 +1,5 @@
-//! Charges from a broker to the cluster's totals, over lost receipts and settled runs.
+//! Exactly-once counting of a broker's charges despite lost reports, lost receipts and settled
+//! runs.
 
 use gingerkeel_domain::cluster::{
     ChargeKey, ChargeReceipt, ChargeReport, Charges, RUN_RETENTION, WallTime,
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn nothing_is_reported_twice_once_it_is_recorded() {
+fn recorded_charges_are_not_reported_again() {
     let mut counters = ChargeCounters::default();
     let mut reporter = ChargeReporter::new(1);
     assert_eq!(reporter.report(counters.counters()), None);
@@ -36,14 +37,14 @@
         reporter.recorded(run, sequence);
         reporter.run_settled(run, sequence, 9);
         let again = reporter.report(counters.counters());
-        assert_eq!(again.as_ref(), Some(&report), "a foreign receipt counts nothing");
+        assert_eq!(again.as_ref(), Some(&report), "a receipt of another report is ignored");
     }
     reporter.recorded(report.run, report.sequence);
     assert_eq!(reporter.report(counters.counters()), None);
 }
 
 #[test]
-fn settled_run_is_counted_on_in_a_new_one() {
+fn charges_after_a_settled_run_are_counted_in_a_new_run() {
     let mut charges = Charges::default();
     let mut counters = ChargeCounters::default();
     let mut reporter = ChargeReporter::new(1);
@@ -65,7 +66,7 @@
 
 proptest! {
     #[test]
-    fn totals_agree_once_the_last_report_is_recorded(
+    fn totals_match_once_the_last_report_is_recorded(
         steps in prop::collection::vec((0..3u8, any::<bool>(), any::<bool>()), 1..60),
     ) {
         let mut charges = Charges::default();
--- a/crates/domain/tests/directory_reading.rs
+++ b/crates/domain/tests/directory_reading.rs
@@ -1,4 +1,4 @@
-//! Readings of the list of leaves with entries that name no usable leaf.
+//! Readings of the external leaf directory with unusable entries.
 
 use std::time::Duration;
 
@@ -23,15 +23,15 @@
     }
 }
 
-fn left_out(leaf: Option<&str>) -> RejectedEntry {
+fn rejected_entry(leaf: Option<&str>) -> RejectedEntry {
     RejectedEntry { leaf: leaf.map(LeafIdentity::new), fault: EntryFault::Malformed }
 }
 
-/// A reading of these leaves, and of entries that name no usable leaf.
+/// A reading with these leaves, and with rejected entries of these identities.
 fn reading(leaves: &[&str], unusable: &[Option<&str>]) -> DirectoryReading {
     let mut reading = DirectoryReading::default();
     leaves.iter().for_each(|name| reading.add(leaf(name, 1)));
-    unusable.iter().for_each(|name| reading.reject(left_out(*name)));
+    unusable.iter().for_each(|name| reading.reject(rejected_entry(*name)));
     reading
 }
 
@@ -53,7 +53,7 @@
     Timestamp::ZERO.after(span)
 }
 
-/// What is listed of the known leaves `a` and `b` after a reading.
+/// A rejected entry must not remove a known leaf. `a` and `b` are known before the reading.
 #[rstest]
 #[case::all_are_there(&["a", "b"], &[], &["a", "b"])]
 #[case::one_has_ended(&["a"], &[], &["a"])]
@@ -61,7 +61,7 @@
 #[case::an_entry_names_none(&["a"], &[None], &["a", "b"])]
 #[case::an_entry_names_another(&["a"], &[Some("c")], &["a"])]
 #[case::a_new_leaf_is_not_held(&["a", "b"], &[Some("c"), None], &["a", "b"])]
-fn what_is_left_out_has_not_ended(
+fn a_leaf_with_a_rejected_entry_stays_listed(
     #[case] leaves: &[&str],
     #[case] unusable: &[Option<&str>],
     #[case] expected: &[&str],
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_leaf_is_held_for_a_while_only() {
+fn a_leaf_is_held_for_the_hold_period_only() {
     let mut held = HeldLeaves::default();
     let directory = known(&["a", "b"]);
     let unusable = || reading(&["a"], &[Some("b")]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_leaf_that_can_be_read_again_is_held_anew_the_next_time() {
+fn a_usable_entry_restarts_the_hold_period() {
     let mut held = HeldLeaves::default();
     let directory = known(&["a", "b"]);
     held.listed(Timestamp::ZERO, &directory, reading(&["a"], &[Some("b")]));
@@ -93,9 +93,9 @@
     assert_eq!(names(&listed), ["a", "b"]);
 }
 
-/// Entries that always name none say nothing of a leaf that goes later.
+/// A permanently rejected entry without identity must not hold every leaf that terminates later.
 #[test]
-fn a_leaf_that_ends_beside_a_lasting_unusable_entry_is_gone_at_once() {
+fn a_leaf_that_terminates_beside_a_permanently_rejected_entry_is_removed_at_once() {
     let mut held = HeldLeaves::default();
     let directory = known(&["a", "b"]);
     assert_eq!(held.listed(at(Duration::ZERO), &directory, reading(&["a", "b"], &[None])).len(), 2);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_identity_with_two_addresses_names_no_leaf() {
+fn entries_with_one_identity_and_two_addresses_are_rejected() {
     let mut reading = reading(&["a", "b"], &[]);
     reading.add(leaf("b", 2));
     reading.add(leaf("b", 1));
@@ -114,9 +114,9 @@
     assert_eq!(names(&listed), ["a"]);
 }
 
-/// The pages of a list are read one after another.
+/// Pages are read one after another, so a leaf may occur on two pages with different states.
 #[test]
-fn a_leaf_that_comes_twice_and_is_leaving_the_second_time_is_leaving() {
+fn the_last_entry_of_a_leaf_on_two_pages_wins() {
     let mut reading = reading(&["a"], &[]);
     reading.add(ListedLeaf { availability: LeafAvailability::Leaving, ..leaf("a", 1) });
     let listed = HeldLeaves::default().listed(Timestamp::ZERO, &LeafDirectory::default(), reading);
@@ -124,7 +124,7 @@
     assert_eq!(listed[0].availability, LeafAvailability::Leaving);
 }
 
-/// An address may have been given to another leaf while the list still names the one that has ended.
+/// The address of a terminated leaf may be reassigned while the directory still lists that leaf.
 #[test]
 fn two_leaves_at_one_address_are_both_listed() {
     let listed = HeldLeaves::default().listed(
--- a/crates/domain/tests/follower.rs
+++ b/crates/domain/tests/follower.rs
@@ -1,4 +1,4 @@
-//! A broker that follows the catalog: nothing reverts, and a lease never outlives its promise.
+//! The follower state machine: the revision never decreases, and a lease never outlasts its grant.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     Timestamp::from_micros(milliseconds * 1000)
 }
 
-/// The change that gives a revision.
+/// The change that results in `revision`.
 fn change(revision: u64) -> Change {
     let account = CallerAccount { budget_per_second: revision, burst: 1 };
     Change::DefineCaller { caller: CallerName::new("portal"), account }
@@ -50,7 +50,7 @@
         effects
     }
 
-    /// Connects and gives the number of the first renewal.
+    /// Connects and returns the number of the first renewal.
     fn connect(&mut self, now: u64) -> u64 {
         let effects = self.tell(now, FollowerEvent::Connected);
         ticket(&effects)
@@ -82,19 +82,19 @@
 }
 
 #[test]
-fn lease_counts_from_when_it_was_asked_for() {
+fn lease_counts_from_its_request() {
     let mut broker = Broker::new();
     let ticket = broker.connect(1_000);
     broker.tell(1_010, FollowerEvent::FullCatalog(catalog(3)));
     assert!(!broker.follower.is_fresh(at(1_010)));
-    // The grant was held up for two seconds, as by a control process that was frozen.
+    // The grant is delayed by two seconds, as by a paused control process.
     broker.grant(3_000, ticket, 3);
     assert!(broker.follower.is_fresh(at(4_999)));
     assert!(!broker.follower.is_fresh(at(5_000)));
 }
 
 #[test]
-fn grant_counts_once_its_revision_is_in_force() {
+fn lease_is_valid_once_its_revision_is_in_force() {
     let mut broker = Broker::new();
     let ticket = broker.connect(0);
     broker.tell(1, FollowerEvent::FullCatalog(catalog(3)));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn grant_of_a_lost_link_is_void() {
+fn grant_of_a_lost_link_is_ignored() {
     let mut broker = Broker::new();
     let old = broker.connect(0);
     broker.tell(1, FollowerEvent::FullCatalog(catalog(3)));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn older_catalog_is_refused_and_the_link_given_up() {
+fn older_catalog_is_refused_and_the_link_closed() {
     let mut broker = Broker::new();
     broker.connect(0);
     broker.tell(1, FollowerEvent::FullCatalog(catalog(5)));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn grant_of_an_older_revision_is_no_lease() {
+fn grant_of_an_older_revision_is_refused() {
     let mut broker = Broker::new();
     let ticket = broker.connect(0);
     broker.tell(1, FollowerEvent::FullCatalog(catalog(5)));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn repeated_change_is_left_out() {
+fn repeated_change_is_ignored() {
     let mut broker = Broker::new();
     broker.connect(0);
     broker.tell(1, FollowerEvent::FullCatalog(catalog(2)));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn silent_control_process_is_given_up_before_the_lease_ends() {
+fn unresponsive_control_process_is_replaced_before_the_lease_expires() {
     let mut broker = Broker::new();
     let first = broker.connect(0);
     broker.tell(1, FollowerEvent::FullCatalog(catalog(2)));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn pauses_grow_to_their_limit_and_differ() {
+fn backoff_grows_to_its_limit_with_jitter() {
     let limit = Duration::from_secs(5);
     let mut pauses = BTreeSet::new();
     for seed in 0..50 {
@@ -203,8 +203,8 @@
     }))
 }
 
-/// What a broker may meet: links to control processes that know old and new revisions, grants
-/// that arrive late, and changes in any order.
+/// Input to a broker: links to control processes at old and new revisions, late grants, and changes
+/// in any order.
 #[derive(Debug, Clone)]
 enum Step {
     Connect,
@@ -228,7 +228,7 @@
 
 proptest! {
     #[test]
-    fn revision_in_force_never_goes_back_and_a_lease_needs_its_revision(
+    fn revision_in_force_never_decreases_and_leases_stay_within_their_grants(
         steps in prop::collection::vec((0..2_000u64, step()), 1..60),
     ) {
         let mut broker = Broker::new();
@@ -266,7 +266,7 @@
     }
 
     #[test]
-    fn broker_lists_follow_by_deltas(
+    fn broker_lists_are_updated_by_deltas(
         before in prop::collection::btree_set((0..20u8, 0..3u8), 0..20),
         after in prop::collection::btree_set((0..20u8, 0..3u8), 0..20),
     ) {
--- a/crates/domain/tests/layout.rs
+++ b/crates/domain/tests/layout.rs
@@ -1,4 +1,4 @@
-//! A layout brought up to date by changes is the one that a new router makes of the result.
+//! Incremental layout updates give the same result as a new router with the final catalog.
 
 mod support;
 
@@ -15,14 +15,14 @@
 use rstest::rstest;
 use support::{change, leaf, placement, service};
 
-/// Leaves that changes speak of.
+/// Number of leaves that generated changes refer to.
 const LEAVES: u32 = 24;
-/// Shards that changes speak of.
+/// Number of shards that generated changes refer to.
 const SHARDS: u32 = 3;
-/// A moment at which every leaf has been silent for too long.
+/// A time at which every leaf is due a probe.
 const LATER: Timestamp = Timestamp::from_micros(1_000_000_000);
 
-/// One step of a broker's life.
+/// One input to a broker's router.
 #[derive(Debug, Clone)]
 enum Step {
     Change(Change),
@@ -80,7 +80,7 @@
     prop::collection::vec(step, 1..40)
 }
 
-/// A catalog in which changes of all kinds find something to change.
+/// A catalog with two services, so that every kind of change can be applied.
 fn first_catalog() -> Catalog {
     let mut catalog = Catalog::default();
     for id in 0..LEAVES / 2 {
@@ -117,9 +117,9 @@
     router
 }
 
-/// Whether two routers route, limit connections and probe alike.
-fn check_alike(one: &mut Router, other: &mut Router, catalog: &Catalog) {
-    check_routes(one, other, catalog);
+/// Asserts that two routers have equal routes, connection limits and probes.
+fn assert_equal_routers(one: &mut Router, other: &mut Router, catalog: &Catalog) {
+    assert_equal_routes(one, other, catalog);
     for leaf in (0..LEAVES).map(LeafId) {
         assert_eq!(one.connection_limit(leaf), other.connection_limit(leaf), "leaf {leaf}");
         assert_eq!(one.takes_new_work(leaf), other.takes_new_work(leaf), "leaf {leaf}");
@@ -127,8 +127,8 @@
     assert_eq!(one.due_probes(LATER), other.due_probes(LATER));
 }
 
-/// Whether two routers route alike.
-fn check_routes(one: &Router, other: &Router, catalog: &Catalog) {
+/// Asserts that two routers have equal routes.
+fn assert_equal_routes(one: &Router, other: &Router, catalog: &Catalog) {
     for (name, service) in catalog.services() {
         for map in service.partitions() {
             assert_eq!(one.table(name, map.epoch), other.table(name, map.epoch), "{name}");
@@ -139,31 +139,31 @@
 fn follow(policy: RoutingPolicy, steps: Vec<Step>, picks: &[Index]) {
     let mut catalog = first_catalog();
     let mut known = brokers(0);
-    let mut kept = Router::new(own(), policy);
-    kept.reconfigure(Timestamp::ZERO, &catalog);
+    let mut updated = Router::new(own(), policy);
+    updated.reconfigure(Timestamp::ZERO, &catalog);
     let checked: Vec<usize> = picks.iter().map(|pick| pick.index(steps.len())).collect();
     for (number, step) in steps.into_iter().enumerate() {
         match step {
-            // A change that is refused leaves the catalog as it is.
+            // A rejected change leaves the catalog unchanged.
             Step::Change(change) => {
                 let _ = catalog.apply(&change);
-                kept.reconfigure(Timestamp::ZERO, &catalog);
+                updated.reconfigure(Timestamp::ZERO, &catalog);
             }
             Step::Brokers(count) => {
                 known = brokers(count);
-                kept.update_brokers(known.clone(), &catalog);
+                updated.update_brokers(known.clone(), &catalog);
             }
         }
         if checked.contains(&number) {
-            check_routes(&kept, &router(policy, &known, &catalog), &catalog);
+            assert_equal_routes(&updated, &router(policy, &known, &catalog), &catalog);
         }
     }
-    check_alike(&mut kept, &mut router(policy, &known, &catalog), &catalog);
+    assert_equal_routers(&mut updated, &mut router(policy, &known, &catalog), &catalog);
 }
 
 proptest! {
     #[test]
-    fn changes_lead_to_the_layout_of_the_whole(
+    fn incremental_layout_matches_a_new_one(
         steps in steps(),
         picks in prop::collection::vec(any::<Index>(), 3),
     ) {
@@ -171,7 +171,7 @@
     }
 
     #[test]
-    fn changes_lead_to_the_baseline_layout_of_the_whole(
+    fn incremental_baseline_layout_matches_a_new_one(
         steps in steps(),
         picks in prop::collection::vec(any::<Index>(), 3),
     ) {
@@ -179,7 +179,7 @@
     }
 }
 
-/// Tables of both services before and after a change.
+/// Whether the table of each service is the same object before and after a change.
 fn tables_kept(apply: Change) -> [bool; 2] {
     let mut catalog = first_catalog();
     let mut router = router(RoutingPolicy::Measured, &brokers(8), &catalog);
@@ -208,7 +208,7 @@
     [false, true]
 )]
 #[case::removed(Change::RemoveLeaf(LeafId(0)), [false, false])]
-fn only_tables_that_a_change_touches_are_laid_out_anew(
+fn only_tables_that_a_change_affects_are_recomputed(
     #[case] change: Change,
     #[case] kept: [bool; 2],
 ) {
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_copy_of_a_catalog_shares_what_no_change_touched() {
+fn a_cloned_catalog_shares_unchanged_parts() {
     let before = first_catalog();
     let mut after = before.clone();
     let drain = Change::SetLeafState { leaf: LeafId(0), state: LeafState::Draining };
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn leaves_of_blocks_that_no_change_touched_are_shared() {
+fn unchanged_blocks_of_leaves_are_shared() {
     let mut before = first_catalog();
     for id in [500, 1000] {
         change(&mut before, Change::AddLeaf(leaf(id, place(0))));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn leaves_are_written_as_a_map_and_read_back() {
+fn leaves_are_serialized_as_a_map() {
     let mut catalog = first_catalog();
     change(&mut catalog, Change::AddLeaf(leaf(1000, place(0))));
     let bytes = postcard::to_allocvec(catalog.leaves()).expect("leaves can be written");
--- a/crates/domain/tests/leaf_directory.rs
+++ b/crates/domain/tests/leaf_directory.rs
@@ -1,4 +1,4 @@
-//! The list of leaves: deltas, identities and versions.
+//! The leaf directory: deltas, identities and versions.
 
 use gingerkeel_domain::directory::{DirectoryVersion, LeafAvailability, LeafDirectory, ListedLeaf};
 use gingerkeel_domain::identifiers::{LeafIdentity, ServiceName, SoftwareVersion, ZoneName};
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn the_first_list_counts_even_when_it_is_empty() {
+fn the_first_list_is_a_delta_even_if_it_is_empty() {
     let directory = listing(&[]);
     assert_eq!(directory.version(), DirectoryVersion(1));
     assert_eq!(directory.delta_to(&[]), None);
 }
 
 #[test]
-fn a_delta_names_only_what_changed() {
+fn a_delta_contains_only_changed_entries() {
     let directory = listing(&[leaf("a", 1), leaf("b", 2), leaf("c", 3)]);
     let leaving = ListedLeaf { availability: LeafAvailability::Leaving, ..leaf("b", 2) };
     let delta = directory.delta_to(&[leaf("a", 1), leaving.clone()]).expect("a change");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_address_that_is_used_again_is_another_leaf() {
+fn a_reused_address_belongs_to_another_leaf() {
     let mut directory = listing(&[leaf("a", 1)]);
     let delta = directory.delta_to(&[leaf("new", 1)]).expect("a change");
     assert!(directory.apply(&delta));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_delta_of_another_version_changes_nothing() {
+fn a_delta_of_another_version_is_not_applied() {
     let mut directory = listing(&[leaf("a", 1)]);
     let late = directory.delta_to(&[]).expect("a change");
     let first = directory.delta_to(&[leaf("a", 1), leaf("b", 2)]).expect("a change");
@@ -60,19 +60,19 @@
     assert_eq!(directory.version(), DirectoryVersion(2));
 }
 
-/// What the list said of a leaf's warm-up, what it says now, and whether that is news.
+/// Remaining warm-up time before and now, and whether the difference is replicated.
 #[rstest]
 #[case::warm_still(0, 0, false)]
 #[case::turned_cold(0, 2_500, true)]
 #[case::time_has_passed(2_500, 1_100, false)]
 #[case::turned_cold_again(1_100, 2_900, true)]
 #[case::warm_now(1_100, 0, true)]
-fn only_a_leaf_that_turns_cold_or_warm_is_news(
+fn only_a_leaf_that_turns_cold_or_warm_has_changed(
     #[case] before: u64,
     #[case] now: u64,
-    #[case] news: bool,
+    #[case] is_changed: bool,
 ) {
     let cold = |cold_ms| ListedLeaf { cold_ms, ..leaf("a", 1) };
     let directory = listing(&[cold(before)]);
-    assert_eq!(directory.delta_to(&[cold(now)]).is_some(), news);
+    assert_eq!(directory.delta_to(&[cold(now)]).is_some(), is_changed);
 }
--- a/crates/domain/tests/nearest_control.rs
+++ b/crates/domain/tests/nearest_control.rs
@@ -1,4 +1,4 @@
-//! Which control process a broker takes.
+//! Selection of the nearest control process.
 
 use std::time::Duration;
 
@@ -17,12 +17,12 @@
 #[case::as_far_as_the_other(&[24], 26, Acceptance::Take)]
 #[case::busy_machine_nearby(&[1], 4, Acceptance::Take)]
 #[case::distance_of_zones_is_little(&[20], 50, Acceptance::Take)]
-fn the_nearest_that_can_be_had_is_taken(
+fn the_nearest_accepting_control_process_is_taken(
     #[case] refused_ms: &[u64],
     #[case] accepted_ms: u64,
     #[case] expected: Acceptance,
 ) {
-    let mut heard = NearestControl::default();
-    refused_ms.iter().for_each(|took| heard.refused(ms(*took)));
-    assert_eq!(heard.accepted(ms(accepted_ms)), expected);
+    let mut attempts = NearestControl::default();
+    refused_ms.iter().for_each(|took| attempts.refused(ms(*took)));
+    assert_eq!(attempts.accepted(ms(accepted_ms)), expected);
 }
--- a/crates/domain/tests/routes.rs
+++ b/crates/domain/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Configurations of routes: validation, versions and the choice of a route.
+//! Route configurations: validation, versions and route lookup.
 
 use gingerkeel_domain::directory::{LeafAvailability, ListedLeaf};
 use gingerkeel_domain::forwarding::ColdStart;
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_sound_configuration_is_valid() {
+fn a_correct_configuration_is_valid() {
     let split = Destination::Split(vec![
         WeightedService { service: ServiceName::new("a"), weight: 0 },
         WeightedService { service: ServiceName::new("b"), weight: 3 },
@@ -103,21 +103,21 @@
 #[case::prefix_without_slash(route("r", "h", "/x"), "begin and end it with a slash")]
 #[case::no_host(route("r", "", "/"), "names no host")]
 #[case::same_place(route("first", "h", "/x/"), "a place of its own")]
-fn a_faulty_route_is_named_with_the_remedy(#[case] faulty: Route, #[case] text: &str) {
+fn a_validation_error_names_the_remedy(#[case] faulty: Route, #[case] text: &str) {
     let routes = vec![route("sound", "h", "/x/"), faulty];
     let error = configuration(1, routes).validate().expect_err("a fault");
     assert!(error.to_string().contains(text), "{error}");
 }
 
 #[test]
-fn a_service_is_defined_once() {
+fn a_duplicate_service_is_rejected() {
     let mut twice = configuration(1, vec![]);
     twice.services.push(service("a"));
     assert_eq!(twice.validate(), Err(RouteError::DuplicateService(ServiceName::new("a"))));
 }
 
 #[test]
-fn the_highest_version_wins_whatever_the_order() {
+fn the_highest_version_wins_in_any_order() {
     let mut state = RouteState::default();
     let newest = accepted(configuration(7, vec![route("r", "h", "/")]), "seven");
     let older = accepted(configuration(5, vec![]), "five");
@@ -186,7 +186,7 @@
 #[case(750_000, 3, 4, true)]
 #[case(1_000_000, 10, 10, true)]
 #[case(1_000_000, 9, 10, false)]
-fn a_share_is_reached_or_not(
+fn a_fraction_is_compared_exactly(
     #[case] share: u32,
     #[case] part: usize,
     #[case] whole: usize,
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn that_a_leaf_is_cold_is_told_only_where_its_service_limits_cold_leaves() {
+fn warm_up_times_are_kept_only_for_services_that_limit_cold_leaves() {
     let mut sent = configuration(1, vec![route("r", "h", "/")]);
     sent.services[0].cold_start = ColdStart { span_ms: 3_000, requests_per_1000_s: 5_000 };
     let mut state = RouteState::default();
@@ -226,12 +226,12 @@
         cold_ms: 2_000,
         version: SoftwareVersion::default(),
     };
-    let told = |state: &RouteState| {
+    let cold_times = |state: &RouteState| {
         let mut leaves = ["a", "b", "unnamed"].map(listed);
         state.clear_unlimited_cold_starts(&mut leaves);
         leaves.map(|leaf| leaf.cold_ms)
     };
-    assert_eq!(told(&state), [0, 0, 0]);
+    assert_eq!(cold_times(&state), [0, 0, 0]);
     state.replace(&accepted(sent, ""));
-    assert_eq!(told(&state), [2_000, 0, 0]);
+    assert_eq!(cold_times(&state), [2_000, 0, 0]);
 }
--- a/crates/domain/tests/subsetting.rs
+++ b/crates/domain/tests/subsetting.rs
@@ -1,4 +1,4 @@
-//! Which replicas of each shard a broker connects to.
+//! Subsetting: which replicas of each shard a broker connects to.
 
 mod support;
 
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// The preferred replicas of each broker.
+/// The subset of each broker.
 fn subsets(brokers: &[BrokerEntry], leaves: &[Leaf]) -> BTreeMap<BrokerName, Vec<LeafId>> {
     let route = |broker: &BrokerEntry| {
         let subsetting = Subsetting::new(broker.clone(), brokers);
@@ -61,10 +61,7 @@
 #[case::few(4, 40)]
 #[case::many(120, 40)]
 #[case::more_leaves(40, 200)]
-fn leaves_are_held_by_nearly_equally_many_brokers(
-    #[case] broker_count: usize,
-    #[case] leaf_count: usize,
-) {
+fn subsets_are_balanced_over_leaves(#[case] broker_count: usize, #[case] leaf_count: usize) {
     let (brokers, leaves) = (brokers(broker_count), replicas(leaf_count));
     let subsets = subsets(&brokers, &leaves);
     let counts = holders(&subsets, &leaves);
@@ -73,7 +70,7 @@
 }
 
 #[test]
-fn the_order_of_the_lists_does_not_matter() {
+fn subsets_do_not_depend_on_list_order() {
     let (brokers, leaves) = (brokers(30), replicas(60));
     let expected = subsets(&brokers, &leaves);
     let (mut brokers, mut leaves) = (brokers, leaves);
@@ -85,7 +82,7 @@
 #[rstest]
 #[case::a_broker_leaves(1, 0)]
 #[case::a_leaf_leaves(0, 1)]
-fn little_moves_when_one_of_a_hundred_leaves(
+fn few_connections_move_when_one_of_a_hundred_is_removed(
     #[case] brokers_gone: usize,
     #[case] leaves_gone: usize,
 ) {
@@ -104,7 +101,7 @@
 #[case::roomy(100)]
 #[case::tight(20)]
 #[case::tighter(7)]
-fn connections_stay_within_each_leafs_limit(#[case] limit: u32) {
+fn connections_stay_within_the_limit_of_each_leaf(#[case] limit: u32) {
     let brokers = brokers(100);
     let mut leaves = replicas(100);
     leaves.iter_mut().for_each(|leaf| leaf.connection_limit = limit);
@@ -120,7 +117,7 @@
 }
 
 #[test]
-fn the_own_zone_is_preferred_and_the_other_region_held_in_reserve() {
+fn the_own_zone_is_preferred_and_other_replicas_are_spares() {
     let (brokers, leaves) = (brokers(100), replicas(100));
     let subsetting = Subsetting::new(brokers[0].clone(), &brokers);
     let route = subsetting.route(ShardId(0), leaves.iter().collect());
