--- a/crates/protocol/tests/documents.rs
+++ b/crates/protocol/tests/documents.rs
@@ -1,18 +1,18 @@
-//! Packed documents.
+//! Packed documents: round trips, compression and invalid input.
 
 use gingerkeel_protocol::{encode_document, pack_document, unpack_document};
 use proptest::prelude::*;
 
 proptest! {
     #[test]
-    fn a_packed_document_comes_back(texts in prop::collection::vec(".{0,40}", 0..200)) {
+    fn packed_documents_round_trip(texts in prop::collection::vec(".{0,40}", 0..200)) {
         let packed = pack_document(&texts).expect("a document");
         let back: Vec<String> = unpack_document(&packed).expect("the same document");
         prop_assert_eq!(back, texts);
     }
 
     #[test]
-    fn other_bytes_are_refused_or_read_but_never_panic(
+    fn unpacking_arbitrary_bytes_never_panics(
         bytes in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let _ = unpack_document::<Vec<String>>(&bytes);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_document_that_repeats_itself_shrinks() {
+fn a_repetitive_document_is_compressed() {
     let route = |number| format!("route-{number} host.example /path/");
     let routes: Vec<String> = (0..400).map(route).collect();
     let plain = encode_document(&routes).expect("a document");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_cut_document_is_refused() {
+fn a_truncated_document_is_rejected() {
     let packed = pack_document(&vec!["x".repeat(50); 100]).expect("a document");
     for length in 0..packed.len() {
         assert!(unpack_document::<Vec<String>>(&packed[..length]).is_err(), "{length} bytes");
--- a/crates/protocol/tests/feed.rs
+++ b/crates/protocol/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Frames of the feed: round trips, and arbitrary bytes.
+//! Feed messages: round trips and invalid input.
 
 use bytes::BytesMut;
 use gingerkeel_protocol::{
@@ -82,7 +82,7 @@
     }
 }
 
-/// Bytes behind a length that fits them, so that the body is looked at.
+/// Adds a correct length prefix, so that the decoder reads the body.
 fn framed(body: &[u8]) -> Vec<u8> {
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(body);
@@ -91,26 +91,29 @@
 
 proptest! {
     #[test]
-    fn subscriber_messages_come_back(message in subscriber_message()) {
+    fn subscriber_messages_round_trip(message in subscriber_message()) {
         let bytes = encode_frame(&message).unwrap();
         prop_assert_eq!(decode(&bytes).unwrap(), Some(message));
     }
 
     #[test]
-    fn feed_messages_come_back(message in feed_message()) {
+    fn feed_messages_round_trip(message in feed_message()) {
         let bytes = encode_frame(&message).unwrap();
         prop_assert_eq!(decode(&bytes).unwrap(), Some(message));
     }
 
     #[test]
-    fn cut_message_is_waited_for(message in feed_message(), cut in any::<prop::sample::Index>()) {
+    fn incomplete_message_is_not_decoded(
+        message in feed_message(),
+        cut in any::<prop::sample::Index>(),
+    ) {
         let bytes = encode_frame(&message).unwrap();
         let cut = cut.index(bytes.len());
         prop_assert_eq!(decode::<FeedMessage>(&bytes[..cut]).unwrap(), None);
     }
 
     #[test]
-    fn arbitrary_bodies_are_decoded_or_refused(
+    fn decoding_arbitrary_bodies_never_panics(
         tag in 0..17u8,
         mut body in prop::collection::vec(any::<u8>(), 0..120),
     ) {
@@ -120,7 +123,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_decoded_or_refused(
+    fn decoding_arbitrary_bytes_never_panics(
         bytes in prop::collection::vec(any::<u8>(), 0..120),
     ) {
         let _ = decode::<FeedMessage>(&bytes);
@@ -128,7 +131,7 @@
     }
 
     #[test]
-    fn bytes_after_the_message_are_refused(message in subscriber_message()) {
+    fn trailing_bytes_are_rejected(message in subscriber_message()) {
         let mut body = encode_frame(&message).unwrap().split_off(4);
         body.push(0);
         prop_assert!(decode::<SubscriberMessage>(&framed(&body)).is_err());
@@ -136,28 +139,28 @@
 }
 
 #[test]
-fn frame_that_is_too_large_is_refused_before_it_is_read() {
+fn oversized_frame_is_rejected_before_its_body_is_read() {
     let length = (MAXIMUM_FRAME_BYTES as u32 + 1).to_be_bytes();
     let refused = decode::<FeedMessage>(&length);
     assert!(matches!(refused, Err(ProtocolError::FrameTooLarge(..))));
 }
 
 #[test]
-fn count_that_exceeds_the_frame_is_refused() {
+fn document_longer_than_the_frame_is_rejected() {
     let mut body = vec![1];
     body.extend_from_slice(&u32::MAX.to_be_bytes());
     assert!(matches!(decode::<FeedMessage>(&framed(&body)), Err(ProtocolError::Malformed(_))));
 }
 
 #[test]
-fn empty_or_broken_name_is_none() {
+fn short_text_is_truncated_and_none_if_empty() {
     assert_eq!(ShortText::new("").text(), None);
     assert_eq!(ShortText::new("palermo-1").text(), Some("palermo-1"));
     assert_eq!(ShortText::new(&"x".repeat(300)).text().map(str::len), Some(255));
 }
 
 #[test]
-fn renewal_and_grant_are_as_small_as_the_design_note_says() {
+fn renewal_and_grant_have_their_documented_sizes() {
     let renewal = SubscriberMessage::Renew { ticket: 1, in_force: 1 };
     assert_eq!(encode_frame(&renewal).unwrap().len(), 21);
     let grant = FeedMessage::Lease { ticket: 1, revision: 1, duration_milliseconds: 4_000 };
--- a/crates/protocol/tests/list_size.rs
+++ b/crates/protocol/tests/list_size.rs
@@ -1,4 +1,4 @@
-//! What a list of thousands of leaves takes on the way to each of hundreds of brokers.
+//! Encoded size of a list of thousands of leaves, which is sent to hundreds of brokers.
 
 use gingerkeel_domain::directory::{
     DirectoryDelta, DirectoryVersion, LeafAvailability, ListedLeaf,
@@ -8,10 +8,10 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Leaves of the planned size.
+/// Number of leaves in the largest planned cluster.
 const LEAVES: u32 = 13_000;
-/// Bytes of a leaf that may be sent: a control process sends the list to 200 brokers when it starts.
-const BYTES_OF_A_LEAF: usize = 24;
+/// Maximum packed size per leaf: a control process sends the list to 200 brokers when it starts.
+const MAXIMUM_BYTES_PER_LEAF: usize = 24;
 
 fn list() -> DirectoryDelta {
     let mut random = Pcg64::seed_from_u64(1);
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_whole_list_is_packed_small() {
+fn packed_list_stays_within_the_size_limit() {
     let list = list();
     let plain = encode_document(&list).expect("a document").len() / LEAVES as usize;
     let packed = pack_document(&list).expect("a document").len() / LEAVES as usize;
     println!("{plain} bytes a leaf, {packed} packed");
-    assert!(packed <= BYTES_OF_A_LEAF, "{packed} bytes a leaf");
+    assert!(packed <= MAXIMUM_BYTES_PER_LEAF, "{packed} bytes a leaf");
 }
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Frames between control processes: each comes back as it was, and nothing else is taken for one.
+//! Frames between control processes: round trips and invalid input.
 
 use bytes::BytesMut;
 use gingerkeel_protocol::{
@@ -36,7 +36,7 @@
     control: ShortText::new("control-1"),
     usage: Document::from(vec![4, 5]),
 })]
-fn a_frame_comes_back(#[case] frame: PeerFrame) {
+fn frames_round_trip(#[case] frame: PeerFrame) {
     let bytes = encode_frame(&frame).expect("a frame");
     assert_eq!(decode(&bytes), Some(frame));
     for length in 0..bytes.len() {
@@ -50,6 +50,6 @@
 #[case::bytes_after(&[0, 0, 0, 2, 4, 0])]
 #[case::length_beyond_the_frame(&[0, 0, 0, 6, 6, 0, 0, 0, 9, 1])]
 #[case::name_beyond_the_frame(&[0, 0, 0, 3, 7, 9, 97])]
-fn other_bytes_are_no_frame(#[case] bytes: &[u8]) {
+fn invalid_bytes_are_not_decoded(#[case] bytes: &[u8]) {
     assert_eq!(decode(bytes), None);
 }
--- a/crates/statement/tests/parse.rs
+++ b/crates/statement/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Statements by example.
+//! Parser examples: statements, and the positions of errors.
 
 use gingerkeel_domain::catalog::{Change, LeafState, MemberState};
 use gingerkeel_domain::crash_suspects::RequestDigest;
@@ -76,14 +76,14 @@
         state: MemberState::Draining,
     })
 )]
-fn statement_is_understood(#[case] text: &str, #[case] expected: Statement) {
+fn statement_is_parsed(#[case] text: &str, #[case] expected: Statement) {
     assert_eq!(parse(text), Ok(vec![expected]));
 }
 
 #[rstest]
 #[case("DRAIN LEAF x", 1, 12)]
 #[case("SHOW STATUS;\nDRAIN LEFT 3", 2, 7)]
-fn fault_is_placed(#[case] text: &str, #[case] line: usize, #[case] column: usize) {
+fn syntax_error_has_a_position(#[case] text: &str, #[case] line: usize, #[case] column: usize) {
     match parse(text) {
         Err(StatementError::Syntax(found_line, found_column, _)) => {
             assert_eq!((found_line, found_column), (line, column));
@@ -93,25 +93,25 @@
 }
 
 #[test]
-fn number_out_of_range_is_refused() {
+fn number_out_of_range_is_rejected() {
     let error = parse("DRAIN LEAF 99999999999").unwrap_err();
     assert!(matches!(error, StatementError::OutOfRange(1, 12, _)), "{error}");
 }
 
 #[test]
-fn name_too_long_is_refused_at_its_place() {
+fn overlong_name_is_rejected_with_its_position() {
     let error = parse(&format!("DRAIN BROKER {}", "b".repeat(65))).unwrap_err();
     assert!(matches!(error, StatementError::NameTooLong(1, 14, 65, 64)), "{error}");
 }
 
 #[test]
-fn text_too_long_is_refused() {
+fn overlong_text_is_rejected() {
     let error = parse(&" ".repeat(TEXT_LIMIT + 1)).unwrap_err();
     assert!(matches!(error, StatementError::TooLong(_, TEXT_LIMIT)), "{error}");
 }
 
 #[test]
-fn excerpt_marks_the_fault() {
+fn excerpt_marks_the_error() {
     let text = "SHOW STATUS;\nDRAIN LEFT 3";
     let excerpt = parse(text).unwrap_err().excerpt(text).unwrap();
     assert_eq!(excerpt, "DRAIN LEFT 3\n      ^");
--- a/crates/statement/tests/properties.rs
+++ b/crates/statement/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the parser: it never panics, and what is printed parses back.
+//! Parser properties: no input causes a panic, and printed statements parse back.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use gingerkeel_statement::{Statement, Subject, parse};
 use proptest::prelude::*;
 
-/// Names, among them such as are keywords.
+/// Names, including names that are also keywords.
 fn name() -> impl Strategy<Value = String> {
     prop_oneof!["[A-Za-z][A-Za-z0-9_-]{0,20}", "(OF|of|To|AT|LEAF|REVISION|FULL|SHARDS)"]
 }
@@ -199,8 +199,8 @@
     ]
 }
 
-/// Words of the language in any order, with some that are none.
-fn word_salad() -> impl Strategy<Value = String> {
+/// Keywords, numbers and arbitrary text in random order.
+fn random_words() -> impl Strategy<Value = String> {
     let word = prop_oneof![
         "(SHOW|DRAIN|ADD|SET|LEAF|BROKER|CONTROL|OF|TO|AT|REVISION|PRICE|SHARD|;|,|--)",
         "[0-9]{1,25}",
@@ -211,12 +211,12 @@
 
 proptest! {
     #[test]
-    fn any_text_is_parsed_or_refused(text in "\\PC{0,200}") {
+    fn parsing_any_text_never_panics(text in "\\PC{0,200}") {
         let _ = parse(&text);
     }
 
     #[test]
-    fn any_words_are_parsed_or_refused_at_a_place_in_the_text(text in word_salad()) {
+    fn error_positions_lie_within_the_text(text in random_words()) {
         if let Err(error) = parse(&text)
             && let Some((line, _)) = error.place()
         {
