--- a/crates/control/src/cluster_task/routes.rs
+++ b/crates/control/src/cluster_task/routes.rs
@@ -45,7 +45,7 @@
     pub(super) fn routes_replaced(&mut self) {
         self.pending_routes.accepted(self.state.routes().version());
         let routes = self.state.routes().current();
-        if routes.is_some_and(|routes| routes.names_unlisted(self.state.directory())) {
+        if routes.is_some_and(|routes| routes.names_unlisted_service(self.state.directory())) {
             // Without an external directory there is no receiver.
             let _ = self.senders.read_directory.send(RefreshRequest);
         }
@@ -62,7 +62,7 @@
     pub(super) fn directory_read(&mut self, reading: DirectoryReading) {
         let (now, known) = (self.clock.now(), self.state.directory());
         let mut listed = self.listed_leaves.read(now, known, reading);
-        self.state.routes().drop_idle_warm_ups(&mut listed);
+        self.state.routes().clear_unlimited_cold_starts(&mut listed);
         let Some(delta) = self.state.directory().delta_to(&listed) else {
             return;
         };
--- a/crates/control/src/entries.rs
+++ b/crates/control/src/entries.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gingerkeel_domain::directory::{EntryFault, LeftOutEntry, ListedLeaf};
+use gingerkeel_domain::directory::{EntryFault, ListedLeaf, RejectedEntry};
 use gingerkeel_domain::identifiers::LeafIdentity;
 use serde::de::{DeserializeOwned, IgnoredAny};
 use serde_json::value::RawValue;
@@ -75,7 +75,7 @@
                 Ok(leaf) => page.leaves.push(leaf),
                 Err(fault) => {
                     page.left_out
-                        .push(LeftOutEntry { leaf: entry_identity::<E>(entry.get()), fault });
+                        .push(RejectedEntry { leaf: entry_identity::<E>(entry.get()), fault });
                 }
             }
         }
@@ -122,7 +122,7 @@
             }
         }
     }
-    page.left_out.push(LeftOutEntry { leaf: None, fault: EntryFault::Unreadable });
+    page.left_out.push(RejectedEntry { leaf: None, fault: EntryFault::Unreadable });
     Some(page)
 }
 
--- a/crates/control/src/ports.rs
+++ b/crates/control/src/ports.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gingerkeel_domain::directory::{LeftOutEntry, ListedLeaf};
+use gingerkeel_domain::directory::{ListedLeaf, RejectedEntry};
 use gingerkeel_domain::identifiers::{ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::rollout::Rollout;
 use gingerkeel_domain::routes::{AcceptedRoutes, RouteVersion};
@@ -109,7 +109,7 @@
     /// The usable leaves of the page.
     pub leaves: Vec<ListedLeaf>,
     /// Entries of the page that name no usable leaf.
-    pub left_out: Vec<LeftOutEntry>,
+    pub left_out: Vec<RejectedEntry>,
     /// Token of the next page; none on the last page.
     pub next: Option<String>,
 }
