--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -17,7 +17,7 @@
 use gingerkeel_domain::routes::{Route, RouteConfiguration, RouteTable, WeightedService};
 use gingerkeel_domain::tail::LatencyWindow;
 use gingerkeel_domain::time::Timestamp;
-use gingerkeel_settings::{BrokerSettings, OutOfTouchSetting, RouteSettings};
+use gingerkeel_settings::{BrokerSettings, DisconnectedPolicy, RouteSettings};
 use gingerkeel_transport::Clock;
 use local_sync::mpsc::unbounded::Tx;
 use monoio::time::timeout;
@@ -170,7 +170,7 @@
 
     /// Whether requests must be refused because the configuration may be stale.
     pub fn is_out_of_date(&self) -> bool {
-        let refuses = self.settings.out_of_touch == OutOfTouchSetting::Refuse;
+        let refuses = self.settings.out_of_touch == DisconnectedPolicy::Refuse;
         refuses && !self.is_fresh()
     }
 
--- a/crates/settings/src/broker.rs
+++ b/crates/settings/src/broker.rs
@@ -100,7 +100,7 @@
     pub first_delivery_ms: u32,
     /// What is done with requests while no control process confirms the configuration.
     #[serde(default)]
-    pub out_of_touch: OutOfTouchSetting,
+    pub out_of_touch: DisconnectedPolicy,
     /// Region of each zone, by which leaves of the own region are preferred.
     #[serde(default)]
     pub zone_regions: BTreeMap<String, String>,
@@ -128,7 +128,7 @@
 /// What a broker does with requests of routes while no control process confirms what it has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum OutOfTouchSetting {
+pub enum DisconnectedPolicy {
     /// It refuses them as not run: an accepted configuration is in force wherever requests are served.
     #[default]
     Refuse,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,7 +12,7 @@
 
 use serde::de::DeserializeOwned;
 
-pub use broker::{BrokerSettings, OutOfTouchSetting, PolicySetting, RouteSettings};
+pub use broker::{BrokerSettings, DisconnectedPolicy, PolicySetting, RouteSettings};
 pub use control::{
     ControlSettings, DirectorySettings, PeerSettings, RolloutSettings, SeedSettings,
 };
