--- a/crates/settings/src/logging/bounded.rs
+++ b/crates/settings/src/logging/bounded.rs
@@ -20,12 +20,12 @@
     /// Lines that may come at once after a quiet time.
     pub burst: u32,
     /// Lines that may wait for the reader.
-    pub waiting_lines: usize,
+    pub queued_lines: usize,
 }
 
 impl Default for LogSettings {
     fn default() -> Self {
-        Self { lines_per_second: 200, burst: 2_000, waiting_lines: 1_024 }
+        Self { lines_per_second: 200, burst: 2_000, queued_lines: 1_024 }
     }
 }
 
@@ -56,7 +56,7 @@
     output: impl Write + Send + 'static,
 ) -> (BoundedWriter, LogGuard) {
     let builder = NonBlockingBuilder::default().lossy(true);
-    let (lines, guard) = builder.buffered_lines_limit(settings.waiting_lines).finish(output);
+    let (lines, guard) = builder.buffered_lines_limit(settings.queued_lines).finish(output);
     let tokens = f64::from(settings.burst);
     let budget = Budget { tokens, refilled: Instant::now(), dropped: 0 };
     (BoundedWriter { settings, budget: Arc::new(Mutex::new(budget)), lines }, LogGuard(guard))
--- a/crates/settings/tests/bounded_logging.rs
+++ b/crates/settings/tests/bounded_logging.rs
@@ -18,7 +18,7 @@
         return;
     };
     let lines_per_second = lines_per_second.parse().expect("a number");
-    let settings = LogSettings { lines_per_second, burst: 1_000_000, waiting_lines: 64 };
+    let settings = LogSettings { lines_per_second, burst: 1_000_000, queued_lines: 64 };
     let settings = match lines_per_second {
         1 => LogSettings { burst: 10, ..settings },
         _ => settings,
