--- a/crates/settings/src/broker.rs
+++ b/crates/settings/src/broker.rs
@@ -11,139 +11,141 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BrokerSettings {
-    /// Name of the broker, unique in the cluster.
+    /// Broker name; unique in the cluster.
     pub name: String,
-    /// Region in which it runs.
+    /// Region of the broker.
     pub region: String,
-    /// Zone in which it runs.
+    /// Zone of the broker.
     pub zone: String,
-    /// Address on which callers connect.
+    /// Listen address for queries of callers.
     pub listen: SocketAddr,
     /// Feed addresses of the control processes.
     pub control: Vec<SocketAddr>,
-    /// Address on which metrics are read; none by default.
+    /// Listen address of the metrics endpoint. Disabled by default.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Connections that callers may hold at the same time.
+    /// Maximum number of open caller connections.
     #[serde(default = "default_caller_connections")]
     pub caller_connections: u32,
-    /// Bytes of a caller's request body.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: u32,
-    /// Milliseconds from the first byte of a caller's request to its last.
+    /// Time limit for receiving a whole request, in milliseconds.
     #[serde(default = "default_request_time_ms")]
     pub request_time_ms: u32,
-    /// Milliseconds for which a caller's connection may lie idle between requests.
+    /// Idle timeout of a caller connection between requests, in milliseconds.
     #[serde(default = "default_idle_time_ms")]
     pub idle_time_ms: u32,
-    /// Connections to one leaf.
+    /// Maximum number of connections to one leaf.
     #[serde(default = "default_connections_per_leaf")]
     pub connections_per_leaf: u32,
-    /// How queries are scheduled; `baseline` is for experiments.
+    /// Scheduling policy of queries; `baseline` is for experiments.
     #[serde(default)]
     pub policy: PolicySetting,
-    /// Whether control processes that the feed names are tried, too. Off where brokers reach them by
-    /// other addresses than those that they know of themselves.
+    /// Whether to connect also to control processes that the feed lists. Disable this if brokers
+    /// reach control processes at addresses other than those in the feed.
     #[serde(default)]
     pub learn_controls: bool,
-    /// Most milliseconds before another control process is tried. Many brokers want a long time,
-    /// so that those of a region that heals do not come at the same moment.
+    /// Maximum random delay before trying another control process, in milliseconds. Use a long
+    /// delay with many brokers, so that those of a recovered region do not all reconnect at once.
     #[serde(default = "default_control_pause_ms")]
     pub control_pause_ms: u32,
-    /// Seed of the random choices; by default drawn from the operating system.
+    /// Seed of the random number generator. By default, the operating system provides a seed.
     #[serde(default)]
     pub seed: Option<u64>,
-    /// Serving of routes; none when the broker answers queries only.
+    /// Route settings. If missing, the broker serves queries only.
     #[serde(default)]
     pub routes: Option<RouteSettings>,
 }
 
-/// How a broker serves routes.
+/// Settings for serving routes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSettings {
-    /// Address on which callers of routes connect.
+    /// Listen address for requests to routes.
     pub listen: SocketAddr,
-    /// Address on which readiness is asked for; none when nobody asks.
+    /// Listen address of the readiness endpoint. Disabled by default.
     #[serde(default)]
     pub readiness: Option<SocketAddr>,
-    /// Address on which the metrics of routes are read; none by default.
+    /// Listen address of the endpoint for route metrics. Disabled by default.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Of requests answered whole and in time, one in so many is logged; 0 logs none of them.
+    /// One in this many requests with a complete answer in time is logged; 0 logs none of them.
     #[serde(default = "default_log_sample")]
     pub log_sample: u64,
-    /// Extra leaf requests (hedges and retries) as a share of requests, from 0 to 1.
+    /// Maximum extra leaf requests (hedges and retries) as a fraction of requests, from 0 to 1.
     #[serde(default = "default_extra_ratio")]
     pub extra_ratio: f64,
-    /// Milliseconds of the window in which extra leaf requests are counted.
+    /// Window of the limit on extra leaf requests, in milliseconds.
     #[serde(default = "default_extra_window_ms")]
     pub extra_window_ms: u32,
-    /// Extra leaf requests of all brokers together beyond the share.
+    /// Extra leaf requests that all brokers together may send beyond that fraction.
     #[serde(default)]
     pub extra_slack: f64,
-    /// Milliseconds after the end of a leaf from which on another one may have its address.
+    /// Minimum time in milliseconds between the end of a leaf and the reuse of its address.
     #[serde(default = "default_address_reuse_ms")]
     pub address_reuse_ms: u32,
-    /// Milliseconds for which the list of leaves goes on naming one that has ended, at most.
+    /// Maximum time in milliseconds for which the directory still lists a leaf after its end.
     #[serde(default = "default_list_lag_ms")]
     pub list_lag_ms: u32,
-    /// Milliseconds before the target latency at which an answer with parts missing leaves at the
-    /// latest: what the way to the caller takes.
+    /// Minimum time in milliseconds between sending a partial answer and the target latency, to
+    /// allow for the network delay to the caller.
     #[serde(default = "default_answer_margin_ms")]
     pub answer_margin_ms: u32,
-    /// The same at the earliest, where this broker is observed to take long for its answers.
+    /// Maximum of the same margin, in milliseconds. The margin grows up to this value if the broker
+    /// is slow to send its answers.
     #[serde(default = "default_longest_answer_margin_ms")]
     pub longest_answer_margin_ms: u32,
-    /// Milliseconds that an answer is expected to take to leave while this broker has observed none.
+    /// Expected time in milliseconds to send an answer, until the broker has observations.
     #[serde(default = "default_first_delivery_ms")]
     pub first_delivery_ms: u32,
-    /// What is done with requests while no control process confirms the configuration.
+    /// Handling of requests while no control process confirms the configuration.
     #[serde(default)]
     pub out_of_touch: DisconnectedPolicy,
-    /// Region of each zone, by which leaves of the own region are preferred.
+    /// Region of each zone. The broker prefers leaves in its own region.
     #[serde(default)]
     pub zone_regions: BTreeMap<String, String>,
-    /// Milliseconds that a broker takes from its start until it can serve, as callers are told.
+    /// Expected time in milliseconds from the start until the broker is ready, reported to callers.
     #[serde(default = "default_start_ms")]
     pub start_ms: u32,
-    /// Milliseconds for which a request is held while the broker knows nothing yet, before it is
-    /// refused; 0 refuses at once.
+    /// Maximum time in milliseconds for which a request waits until the broker is ready; 0 refuses
+    /// it immediately.
     #[serde(default = "default_start_wait_ms")]
     pub start_wait_ms: u32,
-    /// Milliseconds that a planned stop may take.
+    /// Time limit for a graceful shutdown, in milliseconds.
     #[serde(default = "default_stop_ms")]
     pub stop_ms: u32,
-    /// Milliseconds of the window in which the use of a tenant's quota is counted.
+    /// Window in which the requests of a tenant are counted against its quota, in milliseconds.
     #[serde(default = "default_quota_window_ms")]
     pub quota_window_ms: u32,
-    /// Share by which the requests of a tenant at all brokers together may exceed its quota in a window.
+    /// Fraction by which a tenant's requests at all brokers together may exceed its quota in a
+    /// window.
     #[serde(default = "default_quota_overshoot")]
     pub quota_overshoot: f64,
-    /// Requests by which they may exceed it besides.
+    /// Requests per window by which a tenant may exceed its quota in addition to that fraction.
     #[serde(default = "default_quota_slack")]
     pub quota_slack: f64,
 }
 
-/// What a broker does with requests of routes while no control process confirms what it has.
+/// Handling of route requests while no control process confirms the configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DisconnectedPolicy {
-    /// It refuses them as not run: an accepted configuration is in force wherever requests are served.
+    /// Refuse requests as not executed, so that none is served by an outdated configuration.
     #[default]
     Refuse,
-    /// It serves by the newest configuration that it has, never by an older one.
+    /// Serve requests by the latest configuration received, never by an earlier one.
     Serve,
 }
 
-/// How queries are scheduled.
+/// Scheduling policy of queries.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PolicySetting {
-    /// Classes, measured replica choice, subsets and hedges.
+    /// Priority classes, replica selection by measured latency, subsetting and hedging.
     #[default]
     Standard,
-    /// What experiments compare with: a random replica out of all, no hedge, no classes.
+    /// Baseline of experiments: random replica selection, without subsetting, hedging and classes.
     Baseline,
 }
 
@@ -195,18 +197,19 @@
     6_000
 }
 
-/// Fifty rounds of 100 ms in which brokers tell what tenants use, so that what is admitted before news come is a small
-/// part of a window.
+/// Fifty intervals of 100 ms at which brokers report quota usage, so that the requests admitted
+/// before a report arrives are a small part of the window.
 fn default_quota_window_ms() -> u32 {
     5_000
 }
 
-/// What a tenant that sends several times its quota gets too much while the news of it are under way.
+/// Allows for requests admitted during the reporting delay to a tenant that sends several times its
+/// quota.
 fn default_quota_overshoot() -> f64 {
     0.1
 }
 
-/// Two requests at each of five brokers that have not heard of the others.
+/// Two requests at each of five brokers without reports from each other.
 fn default_quota_slack() -> f64 {
     10.0
 }
--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -8,119 +8,123 @@
 
 use crate::{Check, SettingsError, Validate};
 
-/// Most control processes of a cluster.
+/// Maximum number of configured peers, including this process.
 const PEER_LIMIT: usize = 16;
 
 /// Settings of a control process.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Name of the process, unique in the cluster.
+    /// Process name; unique in the cluster.
     pub name: String,
-    /// Address on which operators connect.
+    /// Listen address for operator statements.
     pub operators: SocketAddr,
-    /// Address on which brokers connect for their feed.
+    /// Listen address for the feeds of brokers.
     pub feed: SocketAddr,
-    /// Folder under which all files are kept.
+    /// Data folder of the process.
     pub data_folder: PathBuf,
-    /// Name of the cluster; the same in all its control processes.
+    /// Cluster name; the same for all control processes of the cluster.
     #[serde(default = "default_cluster")]
     pub cluster: String,
-    /// Number of this control process among the peers.
+    /// Node number of this process. Ignored if `seeds` is set.
     #[serde(default = "default_node")]
     pub node: u32,
-    /// Region in which it runs.
+    /// Region of the process.
     #[serde(default = "default_place")]
     pub region: String,
-    /// Zone in which it runs.
+    /// Zone of the process.
     #[serde(default = "default_place")]
     pub zone: String,
-    /// All control processes of the cluster, this one included; none when it is the only one.
+    /// All control processes of the cluster including this one. Empty if there is no other one, or
+    /// if
+    /// `seeds` is set.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
-    /// How the control processes find each other without a list of them; `peers` stays empty then.
+    /// Seed nodes for discovery of the control processes, as an alternative to `peers`.
     #[serde(default)]
     pub seeds: Option<SeedSettings>,
-    /// Region of each zone, by which regions of routes and zones of orders are checked; without any
-    /// they are not.
+    /// Region of each zone, to validate the regions of routes and the zones of evacuations. If
+    /// empty, neither is validated.
     #[serde(default)]
     pub zone_regions: BTreeMap<String, String>,
-    /// The outside list of leaves that this cluster follows; none when operators name the leaves.
+    /// External directory of leaves. If missing, operators add the leaves.
     #[serde(default)]
     pub directory: Option<DirectorySettings>,
-    /// Milliseconds without a leader after which a new one is elected, at least; up to twice that.
+    /// Minimum election timeout in milliseconds. The timeout is random, up to twice this value.
     #[serde(default = "default_election_ms")]
     pub election_ms: u32,
-    /// Address on which operators replace the configuration of routes; none without routes.
+    /// Listen address of the route configuration API. If missing, the cluster has no routes.
     #[serde(default)]
     pub routes: Option<SocketAddr>,
-    /// What a software version may get that is not known to be sound.
+    /// Limits on requests to a new software version during its rollout.
     #[serde(default)]
     pub rollout: RolloutSettings,
 }
 
-/// How many requests for a service may reach a software version that is not known to be sound, over all brokers.
+/// Limits on requests, over all brokers, to a new software version before it has been evaluated.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutSettings {
-    /// Millionths of the requests for the service.
+    /// Maximum share of the requests for the service, in parts per million.
     pub exposed_ppm: u32,
-    /// Requests beyond that share.
+    /// Additional requests beyond that share.
     pub exposed_slack: u32,
 }
 
 impl Default for RolloutSettings {
-    /// A tenth, and as many more as a judgement needs where requests are few.
+    /// 10 %, and 50 more requests to evaluate the version of a service with few requests.
     fn default() -> Self {
         Self { exposed_ppm: 100_000, exposed_slack: 50 }
     }
 }
 
-/// Control processes that are known from the start, by which all others are found.
+/// Seed nodes, through which a control process discovers all other members.
 ///
-/// A machine's number is its address, so that a machine at another address is another member.
+/// The node number of a member is its IPv4 address, so a machine with another address is another
+/// member.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SeedSettings {
-    /// Address on which this process takes connections of the others; all use the same port.
+    /// Listen address for connections of other members. All members use the same port.
     pub own: SocketAddrV4,
-    /// Addresses on which the seeds do.
+    /// Listen addresses of the seed nodes.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the seeds may form a new cluster; only at the first start of all of them.
+    /// Whether the seed nodes may form a new cluster. Set this only for the first start of all seed
+    /// nodes.
     #[serde(default)]
     pub form: bool,
-    /// Most voters; further members wait as learners to take the place of a lost one.
+    /// Maximum number of voters. Additional members are learners that replace lost voters.
     #[serde(default = "default_voters")]
     pub voters: u32,
-    /// Voters that have to answer before a lost one is taken out: twice the losses to be borne at
-    /// once, and one.
+    /// Voters that must be reachable before a lost voter is removed: 2f + 1 to tolerate f
+    /// simultaneous losses.
     #[serde(default = "default_least_voters")]
     pub least_voters: u32,
-    /// Milliseconds of silence after which a voter counts as lost.
+    /// Time in milliseconds without a message after which a voter is considered lost.
     #[serde(default = "default_replace_after_ms")]
     pub replace_after_ms: u32,
 }
 
-/// An outside list of leaves.
+/// External directory of leaves.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectorySettings {
-    /// Where the list is asked for.
+    /// Address of the directory server.
     pub address: SocketAddr,
-    /// Milliseconds from one reading of the whole list to the next.
+    /// Interval between polls of the whole directory, in milliseconds.
     #[serde(default = "default_poll_interval_ms")]
     pub poll_interval_ms: u32,
 }
 
-/// A control process of the cluster.
+/// Static configuration of one control process of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// Its number, from 1; never given to another machine.
+    /// Node number, from 1. Must never be reused for another machine.
     pub node: u32,
-    /// Address on which it takes connections of the others.
+    /// Listen address for connections of other peers.
     pub address: SocketAddr,
-    /// Whether it is a voter when the cluster is formed; of no effect later.
+    /// Whether the process is an initial voter. Has no effect after the cluster has been formed.
     #[serde(default = "default_voter")]
     pub voter: bool,
 }
@@ -162,7 +166,7 @@
 }
 
 impl ControlSettings {
-    /// Address on which this process takes connections of its peers, if it has any.
+    /// Listen address for connections of other control processes, or `None` without peers.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         if let Some(seeds) = &self.seeds {
             return Some(seeds.own.into());
@@ -170,12 +174,12 @@
         self.peers.iter().find(|peer| peer.node == self.node).map(|peer| peer.address)
     }
 
-    /// The other control processes.
+    /// The configured peers except this process.
     pub fn other_peers(&self) -> impl Iterator<Item = &PeerSettings> {
         self.peers.iter().filter(|peer| peer.node != self.node)
     }
 
-    /// Number of this process among the members.
+    /// Node number of this process: from its address if `seeds` is set, otherwise `node`.
     pub fn node_number(&self) -> u32 {
         self.seeds.as_ref().map_or(self.node, SeedSettings::node_number)
     }
@@ -235,12 +239,12 @@
 }
 
 impl SeedSettings {
-    /// The number of this machine: its address.
+    /// Node number of this process: its IPv4 address as an integer.
     pub fn node_number(&self) -> u32 {
         u32::from(*self.own.ip())
     }
 
-    /// The numbers of the seeds.
+    /// Node numbers of the seed nodes.
     pub fn seed_numbers(&self) -> impl Iterator<Item = u32> + '_ {
         self.seeds.iter().map(|seed| u32::from(*seed.ip()))
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings files, their validation, and log set-up.
+//! Settings files, their validation, and logging setup.
 
 mod broker;
 mod control;
@@ -21,13 +21,14 @@
 pub use source::{ReadSettings, SettingsSource};
 pub use validate::{Check, Validate};
 
-/// Exit code of a process whose settings or flags are wrong.
+/// Exit code for invalid settings or command-line flags.
 pub const EXIT_BAD_SETTINGS: i32 = 2;
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// A [`SettingsError`] that names the file, the field, its value and the remedy.
+/// Returns a [`SettingsError`] if the file cannot be read, cannot be parsed or has an invalid
+/// value.
 pub fn load<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, SettingsError> {
     let file = path.display().to_string();
     let text =
@@ -35,10 +36,10 @@
     parse(&file, &text)
 }
 
-/// Checks the text of a settings file; `file` is used in errors only.
+/// Parses and validates the text of a settings file. `file` is the file name for errors.
 ///
 /// # Errors
-/// A [`SettingsError`] that names the file, the field, its value and the remedy.
+/// Returns a [`SettingsError`] if the text cannot be parsed or has an invalid value.
 pub fn parse<T: DeserializeOwned + Validate>(file: &str, text: &str) -> Result<T, SettingsError> {
     let settings: T = toml::from_str(text)
         .map_err(|error| SettingsError::Malformed(file.to_owned(), error.to_string()))?;
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Logging in logfmt: one line of key=value pairs per event.
 
 mod bounded;
 
@@ -9,16 +9,16 @@
 
 pub use bounded::{LogGuard, LogSettings};
 
-/// Environment variable that selects levels, such as `info,gingerkeel_broker=debug`.
+/// Environment variable with the log filter, such as `info,gingerkeel_broker=debug`.
 const LEVEL_VARIABLE: &str = "GINGERKEEL_LOG";
 
-/// Starts logging to standard error for this process; a second call has no effect.
+/// Starts logging to standard error. Has no effect if logging has already been started.
 pub fn start_logging() {
     start(std::io::stderr);
 }
 
-/// Starts logging to standard output within a budget of lines, and without ever waiting for the
-/// reader. Lines that wait are written while the guard lives.
+/// Starts rate-limited logging to standard output that never blocks on a slow reader. Keep the
+/// guard until the process exits, since dropping it flushes the queued lines and stops the writer.
 pub fn start_bounded_logging(settings: LogSettings) -> LogGuard {
     let (writer, guard) = bounded::writer(settings, std::io::stdout());
     start(writer);
@@ -31,6 +31,6 @@
 {
     let filter = EnvFilter::try_from_env(LEVEL_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
     let layer = tracing_logfmt::builder().layer().with_writer(writer);
-    // Fails only when logging was started before, which is as good.
+    // Fails only if logging has already been started.
     let _ = tracing_subscriber::registry().with(filter).with(layer).try_init();
 }
--- a/crates/settings/src/logging/bounded.rs
+++ b/crates/settings/src/logging/bounded.rs
@@ -1,8 +1,8 @@
-//! A writer of log lines that keeps to a budget and never waits.
+//! Rate-limited, non-blocking writer of log lines.
 //!
-//! A thread of its own writes the lines, so that a reader that stalls stalls that thread alone.
-//! What does not fit into the budget, or into the queue before the thread, is dropped and counted;
-//! a line of its own tells how many were.
+//! A dedicated thread writes the lines, so that a stalled reader blocks only that thread. Lines
+//! that exceed the rate limit or do not fit into the queue of the thread are dropped. A warning
+//! reports the number of lines dropped by the rate limit.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,14 +12,14 @@
 use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Bounds of logging.
+/// Rate limit and queue size of logging.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Lines a second, on the average; warnings and errors are written beyond it.
+    /// Average number of lines per second. Warnings and errors are exempt.
     pub lines_per_second: u32,
-    /// Lines that may come at once after a quiet time.
+    /// Maximum number of lines in a burst.
     pub burst: u32,
-    /// Lines that may wait for the reader.
+    /// Maximum number of lines in the queue of the writer thread.
     pub queued_lines: usize,
 }
 
@@ -29,24 +29,25 @@
     }
 }
 
-/// Writes what waits when it is dropped.
+/// Flushes the queued lines and stops the writer thread when dropped.
 pub struct LogGuard(#[allow(dead_code)] WorkerGuard);
 
-struct Budget {
+/// Token bucket with a count of dropped lines.
+struct LineBudget {
     tokens: f64,
     refilled: Instant,
     dropped: u64,
 }
 
-/// Makes a writer for each line.
+/// Creates a [`LineWriter`] for each log line.
 #[derive(Clone)]
 pub(super) struct BoundedWriter {
     settings: LogSettings,
-    budget: Arc<Mutex<Budget>>,
+    budget: Arc<Mutex<LineBudget>>,
     lines: NonBlocking,
 }
 
-/// Writes one line, or drops it.
+/// Queues one line, or discards it if the rate limit has been exceeded.
 pub(super) struct LineWriter {
     lines: Option<NonBlocking>,
 }
@@ -58,12 +59,13 @@
     let builder = NonBlockingBuilder::default().lossy(true);
     let (lines, guard) = builder.buffered_lines_limit(settings.queued_lines).finish(output);
     let tokens = f64::from(settings.burst);
-    let budget = Budget { tokens, refilled: Instant::now(), dropped: 0 };
+    let budget = LineBudget { tokens, refilled: Instant::now(), dropped: 0 };
     (BoundedWriter { settings, budget: Arc::new(Mutex::new(budget)), lines }, LogGuard(guard))
 }
 
 impl BoundedWriter {
-    /// Whether a line may be written now.
+    /// Takes a token for a line and returns whether the line may be written. Urgent lines are
+    /// always admitted. Reports the lines dropped since the last admitted line.
     fn admit(&self, urgent: bool) -> bool {
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -79,7 +81,7 @@
         let dropped = std::mem::take(&mut budget.dropped);
         if dropped > 0 {
             let mut lines = self.lines.clone();
-            // A queue that is full drops this line as any other.
+            // If the queue is full, this line is dropped as well.
             let _ = writeln!(lines, "level=warn event=log_lines_dropped count={dropped}");
         }
         true
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,11 +1,11 @@
-//! Where the settings of a running process come from, to be read again.
+//! Source of the settings of a running process, for reloading.
 
 use std::path::{Path, PathBuf};
 
-/// Reads settings out of a file, or says in words that name the remedy why it cannot.
+/// Function that reads settings from a file. The error is a message for operators.
 pub type ReadSettings<T> = fn(&Path) -> Result<T, String>;
 
-/// A settings file and how it is read.
+/// Path of a settings file with the function that reads it.
 #[derive(Debug, Clone)]
 pub struct SettingsSource<T> {
     path: PathBuf,
@@ -13,20 +13,20 @@
 }
 
 impl<T> SettingsSource<T> {
-    /// The file at `path`, read by `read`.
+    /// Creates a source that reads the file at `path` with `read`.
     pub fn new(path: PathBuf, read: ReadSettings<T>) -> Self {
         Self { path, read }
     }
 
-    /// The file.
+    /// Path of the settings file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Reads and checks the file as it is now.
+    /// Reads and validates the current content of the file.
     ///
     /// # Errors
-    /// What is wrong with it, with the remedy.
+    /// Returns a message for operators if the file cannot be read or is invalid.
     pub fn read(&self) -> Result<T, String> {
         (self.read)(&self.path)
     }
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -1,33 +1,33 @@
-//! Checks of single fields.
+//! Validation of settings fields.
 
 use std::fmt::Display;
 
 use crate::SettingsError;
 
-/// Settings that can check themselves.
+/// Settings with a check of their values.
 pub trait Validate {
-    /// Checks every field.
+    /// Validates all fields.
     ///
     /// # Errors
-    /// [`SettingsError::BadValue`] for the first field whose value is out of its range.
+    /// Returns [`SettingsError::BadValue`] for the first field whose value is out of range.
     fn validate(&self, check: &mut Check<'_>) -> Result<(), SettingsError>;
 }
 
-/// Names the file in the errors of field checks.
+/// Validates single fields and adds the file name to errors.
 pub struct Check<'file> {
     file: &'file str,
 }
 
 impl<'file> Check<'file> {
-    /// Checks of the fields of `file`.
+    /// Creates a check for the settings file `file`.
     pub fn new(file: &'file str) -> Self {
         Self { file }
     }
 
-    /// Requires `accepted`, or names the field, its value and the remedy.
+    /// Validates one field. `remedy` tells operators how to correct the value.
     ///
     /// # Errors
-    /// [`SettingsError::BadValue`] when `accepted` is false.
+    /// Returns [`SettingsError::BadValue`] if `accepted` is false.
     pub fn field(
         &mut self,
         field: &str,
@@ -46,10 +46,11 @@
         ))
     }
 
-    /// Requires a name: a letter, then letters, digits, `-` and `_`, at most 64 characters.
+    /// Validates a name: a letter followed by letters, digits, `-` and `_`, at most 64 characters
+    /// in total.
     ///
     /// # Errors
-    /// [`SettingsError::BadValue`] when the value is not a name.
+    /// Returns [`SettingsError::BadValue`] if `value` is not a valid name.
     pub fn name(&mut self, field: &str, value: &str) -> Result<(), SettingsError> {
         let starts_with_letter = value.starts_with(|first: char| first.is_ascii_alphabetic());
         let allowed =
