--- a/crates/settings/tests/bounded_logging.rs
+++ b/crates/settings/tests/bounded_logging.rs
@@ -1,4 +1,4 @@
-//! Logging that keeps to its budget and never waits for its reader.
+//! Rate-limited logging: the process never blocks on a slow reader, and excess lines are counted.
 
 use std::io::{BufRead, BufReader, Read};
 use std::process::{Command, Stdio};
@@ -6,12 +6,12 @@
 
 use gingerkeel_settings::{LogSettings, start_bounded_logging};
 
-/// Marks a process of this program as the one that logs.
+/// Environment variable that makes a process of this program log; its value is the rate limit.
 const ROLE: &str = "GINGERKEEL_TEST_LOGS";
-/// Lines that the process wants to log; far more than a pipe and the queue hold.
+/// Number of lines that the process logs; far more than fit into a pipe and the queue.
 const LINES: usize = 200_000;
 
-/// Not a test of its own: what the other tests start as a process.
+/// The process that the other tests start. Does nothing if run as a test.
 #[test]
 fn logging_process() {
     let Ok(lines_per_second) = std::env::var(ROLE) else {
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn a_reader_that_stalls_holds_nothing_up() {
+fn a_stalled_reader_does_not_block_the_process() {
     let mut child = logging("1000000").spawn().expect("a process");
-    // Nobody reads standard output: the pipe is full after some hundred lines.
+    // Nobody reads standard output: the pipe fills up after some hundred lines.
     let mut said = BufReader::new(child.stderr.take().expect("a pipe")).lines();
     let began = Instant::now();
     let logged = said.any(|line| line.is_ok_and(|line| line.contains("logged all")));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_exceeds_the_budget_is_dropped_and_counted() {
+fn lines_beyond_the_rate_limit_are_dropped_and_counted() {
     let mut child = logging("1").spawn().expect("a process");
     let mut text = String::new();
     child.stdout.take().expect("a pipe").read_to_string(&mut text).expect("text");
--- a/crates/settings/tests/control.rs
+++ b/crates/settings/tests/control.rs
@@ -1,4 +1,4 @@
-//! Settings of a control process and its peers.
+//! Validation of the settings of a control process and its peers.
 
 use gingerkeel_settings::{ControlSettings, parse};
 use rstest::rstest;
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn a_process_without_peers_needs_no_more() {
+fn peers_are_optional() {
     let settings: ControlSettings = parse("file", BASE).expect("valid");
     assert_eq!(settings.peer_address(), None);
     assert_eq!(settings.node, 1);
 }
 
 #[test]
-fn peers_are_told_apart() {
+fn the_process_itself_is_no_other_peer() {
     let text = format!("{BASE}node = 2\n{}{}{}", peer(1, 11), peer(2, 12), peer(3, 13));
     let settings: ControlSettings = parse("file", &text).expect("valid");
     assert_eq!(settings.peer_address(), Some(([127, 0, 0, 1], 12).into()));
@@ -34,7 +34,7 @@
 #[case::itself_missing(peer(2, 11), "name this control process among the peers")]
 #[case::no_voter(peer(1, 11) + "voter = false\n", "at least one peer a voter")]
 #[case::unknown_field(peer(1, 11) + "weight = 3\n", "correct the field")]
-fn wrong_peers_are_refused_with_the_remedy(#[case] peers: String, #[case] remedy: &str) {
+fn invalid_peers_are_refused_with_the_remedy(#[case] peers: String, #[case] remedy: &str) {
     let error = parse::<ControlSettings>("file", &format!("{BASE}{peers}")).expect_err("refused");
     assert!(error.to_string().contains(remedy), "{error}");
 }
