--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,8 +1,9 @@
-//! The way to the control processes.
+//! Client of the control processes.
 //!
-//! Each statement goes in a request of its own under the session and a sequence number. When its
-//! answer is lost, the same command goes to the next control process: it is carried out once,
-//! whatever became of the first try.
+//! Each statement is sent in a separate request with a session and a sequence number. If there is
+//! no response, the client retries it with the same sequence number at the next control process.
+//! The cluster executes a command at most once per session and sequence number, so a retry is safe
+//! also if an earlier attempt was executed.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,33 +18,35 @@
 use quick_error::quick_error;
 use rand::Rng;
 
-/// Time after which no further round over the control processes begins; several elections long.
-const ROUNDS_LIMIT: Duration = Duration::from_secs(5);
-/// Time that a control process has to answer; longer than it gives a statement itself.
-const ANSWER_LIMIT: Duration = Duration::from_secs(7);
-/// Bound of the pause after each round.
-const PAUSE_BOUND: Duration = Duration::from_millis(400);
+/// Time after which no further round of attempts at all control processes begins. It covers several
+/// elections.
+const RETRY_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of one attempt. It is longer than the time limit of a control process for a statement.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(7);
+/// Maximum backoff after each round; the actual backoff is random.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
 quick_error! {
-    /// A statement whose outcome is not known.
+    /// Statement with an unknown outcome.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ClientError {
-        /// No control process answered.
+        /// No control process returned an outcome. `command` has the flags for a retry, `last` the
+        /// last error.
         NoAnswer(command: String, last: String) {
-            display("no control process gave the outcome (last: {last}): check that a quorum is up, then run it again with {command}, which carries it out once at most")
+            display("no control process returned an outcome (last error: {last}): check that a quorum is up, then retry with {command}, which executes it at most once")
         }
     }
 }
 
-/// Why one try gave no outcome.
+/// Reason for an attempt without an outcome.
 #[derive(Debug)]
-enum Lost {
+enum AttemptError {
     Transport(TransportError),
     Unknown(String),
-    Slow,
+    TimedOut,
 }
 
-/// Sends statements under one session.
+/// Sends the statements of one session.
 pub struct ControlClient {
     controls: Vec<SocketAddr>,
     preferred: usize,
@@ -52,22 +55,23 @@
 }
 
 impl ControlClient {
-    /// A client of these control processes; without a session it draws one, and without a
-    /// sequence number it goes on from the time, which no earlier command of the session has.
+    /// Creates a client of the given control processes. The default session name is random. The
+    /// default sequence number is the current time in microseconds, which is greater than that of
+    /// any earlier command of the session.
     pub fn new(controls: Vec<SocketAddr>, session: Option<String>, sequence: Option<u64>) -> Self {
-        let drawn = || format!("cli-{:016x}", rand::rng().random::<u64>());
+        let random_session = || format!("cli-{:016x}", rand::rng().random::<u64>());
         Self {
             controls,
             preferred: 0,
-            session: session.unwrap_or_else(drawn),
+            session: session.unwrap_or_else(random_session),
             next_sequence: sequence.unwrap_or_else(microseconds_now),
         }
     }
 
-    /// Carries out one statement.
+    /// Executes one statement, with retries.
     ///
     /// # Errors
-    /// [`ClientError::NoAnswer`] when no control process told the outcome.
+    /// Returns [`ClientError::NoAnswer`] if no control process returned an outcome.
     pub async fn execute(&mut self, statement: &Statement) -> Result<StatementReply, ClientError> {
         let sequence = self.next_sequence;
         if matches!(statement, Statement::Change { .. }) {
@@ -75,18 +79,18 @@
         }
         let text = statement.to_string();
         let mut last = String::new();
-        let begun = Instant::now();
-        while begun.elapsed() < ROUNDS_LIMIT {
+        let started = Instant::now();
+        while started.elapsed() < RETRY_LIMIT {
             for _ in 0..self.controls.len() {
                 let control = self.controls[self.preferred];
                 match self.attempt(control, &text, sequence).await {
                     Ok(reply) => return Ok(reply),
-                    Err(lost) => last = format!("{control}: {lost}"),
+                    Err(error) => last = format!("{control}: {error}"),
                 }
                 self.preferred = (self.preferred + 1) % self.controls.len();
             }
-            let share: f64 = rand::rng().random();
-            sleep(PAUSE_BOUND.mul_f64(share)).await;
+            let jitter: f64 = rand::rng().random();
+            sleep(MAX_BACKOFF.mul_f64(jitter)).await;
         }
         let command = format!("--session {} --sequence {sequence}", self.session);
         Err(ClientError::NoAnswer(command, last))
@@ -97,23 +101,23 @@
         control: SocketAddr,
         text: &str,
         sequence: u64,
-    ) -> Result<StatementReply, Lost> {
-        let exchanging = exchange(control, self.request(text, sequence));
-        let (status, body) = match timeout(ANSWER_LIMIT, exchanging).await {
-            Ok(answer) => answer.map_err(Lost::Transport)?,
-            Err(_) => return Err(Lost::Slow),
+    ) -> Result<StatementReply, AttemptError> {
+        let response = exchange(control, self.request(text, sequence));
+        let (status, body) = match timeout(ATTEMPT_TIMEOUT, response).await {
+            Ok(answer) => answer.map_err(AttemptError::Transport)?,
+            Err(_) => return Err(AttemptError::TimedOut),
         };
         let Ok(replies) = serde_json::from_slice::<StatementReplies>(&body) else {
             let text = String::from_utf8_lossy(&body).into_owned();
             if status.is_client_error() {
                 return Ok(StatementReply::Refused { error: text });
             }
-            return Err(Lost::Unknown(text));
+            return Err(AttemptError::Unknown(text));
         };
         match replies.replies.into_iter().next() {
-            Some(StatementReply::Unknown { error }) => Err(Lost::Unknown(error)),
+            Some(StatementReply::Unknown { error }) => Err(AttemptError::Unknown(error)),
             Some(reply) => Ok(reply),
-            None => Err(Lost::Unknown("an answer without a reply".to_owned())),
+            None => Err(AttemptError::Unknown("response without a reply".to_owned())),
         }
     }
 
@@ -145,12 +149,12 @@
     u64::try_from(since.as_micros()).unwrap_or(1).max(1)
 }
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for AttemptError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Transport(error) => write!(formatter, "{error}"),
             Self::Unknown(text) => formatter.write_str(text),
-            Self::Slow => formatter.write_str("no answer in time"),
+            Self::TimedOut => formatter.write_str("no response in time"),
         }
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `gingerkeel`: the operator command line.
+//! `gingerkeel`, the command-line client for operators.
 
 mod client;
 mod output;
@@ -15,11 +15,11 @@
 
 use crate::client::{ClientError, ControlClient};
 
-/// Exit code when flags or statements are wrong.
+/// Exit code for invalid flags or statements.
 const EXIT_USAGE: i32 = 2;
-/// Exit code when a statement was refused.
+/// Exit code for a refused statement.
 const EXIT_REFUSED: i32 = 1;
-/// Exit code when no control process answered.
+/// Exit code for a statement with an unknown outcome.
 const EXIT_UNREACHABLE: i32 = 3;
 
 /// Operator command line of the gingerkeel query tier.
@@ -33,20 +33,20 @@
     control: Vec<SocketAddr>,
     #[options(help = "print replies as JSON")]
     json: bool,
-    #[options(help = "file of statements to carry out", meta = "FILE")]
+    #[options(help = "file of statements to execute", meta = "FILE")]
     file: Option<PathBuf>,
     #[options(
-        help = "session under which outcomes are recorded; drawn if left out",
+        help = "session under which outcomes are recorded; random by default",
         meta = "NAME"
     )]
     session: Option<String>,
     #[options(
-        help = "number of the first change, to send one again whose outcome is unknown",
+        help = "sequence number of the first change, to retry one with an unknown outcome",
         meta = "NUMBER",
         no_short
     )]
     sequence: Option<u64>,
-    #[options(free, help = "statement to carry out; the shell starts when there is none")]
+    #[options(free, help = "statement to execute; starts the shell if there is none")]
     statement: Vec<String>,
 }
 
@@ -64,7 +64,7 @@
         return;
     }
     if flags.control.is_empty() {
-        fail(EXIT_USAGE, "no control process named: add --control ADDRESS");
+        fail(EXIT_USAGE, "no control process specified: add --control ADDRESS");
     }
     if let Some(session) = &flags.session {
         check_session(session);
@@ -80,11 +80,11 @@
 fn check_session(session: &str) {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_".contains(c);
     if session.is_empty() || session.len() > 64 || !session.chars().all(allowed) {
-        fail(EXIT_USAGE, "the session is not a name: use at most 64 letters, digits, '-' and '_'");
+        fail(EXIT_USAGE, "invalid session name: use at most 64 letters, digits, '-' and '_'");
     }
 }
 
-/// The text of a file or of the arguments; none when there is neither.
+/// Returns the text of the file or of the arguments, or `None` to start the shell.
 fn statement_text(flags: &Flags) -> Option<String> {
     let Some(path) = &flags.file else {
         return (!flags.statement.is_empty()).then(|| flags.statement.join(" "));
@@ -95,7 +95,8 @@
     Some(text)
 }
 
-/// Carries out a whole text and ends with a code that says what became of it.
+/// Executes all statements of `text`. Exits the process if one is invalid, refused or has an
+/// unknown outcome.
 fn run_text(client: &mut ControlClient, text: &str, json: bool) {
     let statements = parse(text).unwrap_or_else(|error| {
         let excerpt = error.excerpt(text).map(|excerpt| format!("\n{excerpt}"));
@@ -120,7 +121,7 @@
 }
 
 fn run_shell(client: &mut ControlClient, json: bool) {
-    let ended = shell::run(|text| match parse(text) {
+    let result = shell::run(|text| match parse(text) {
         Err(error) => {
             eprintln!("{error}");
             if let Some(excerpt) = error.excerpt(text) {
@@ -140,12 +141,15 @@
             }
         }
     });
-    if let Err(error) = ended {
-        fail(EXIT_USAGE, &format!("the terminal failed ({error}): name a statement or --file"));
+    if let Err(error) = result {
+        fail(
+            EXIT_USAGE,
+            &format!("cannot read from the terminal ({error}): give a statement or --file"),
+        );
     }
 }
 
-/// Carries out statements in order, up to the first that fails.
+/// Executes statements in order and stops after the first failure. Passes each reply to `report`.
 fn execute_all(
     client: &mut ControlClient,
     statements: &[Statement],
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,8 +1,8 @@
-//! Replies for people.
+//! Formatting of replies for terminals.
 
 use gingerkeel_statement::StatementReply;
 
-/// Prints one reply; refusals go to standard error.
+/// Prints one reply. Refusals and unknown outcomes go to standard error.
 pub fn print(reply: &StatementReply) {
     match reply {
         StatementReply::Accepted { revision } => println!("accepted at revision {revision}"),
--- a/crates/cli/src/shell.rs
+++ b/crates/cli/src/shell.rs
@@ -1,24 +1,24 @@
-//! The shell: statements line by line, with a history.
+//! Interactive shell with line editing and a history.
 
 use std::path::PathBuf;
 
 use rustyline::DefaultEditor;
 use rustyline::error::ReadlineError;
 
-/// What the shell prints where a statement may begin.
+/// Prompt for the first line of a statement.
 const PROMPT: &str = "gingerkeel> ";
-/// What it prints where a statement goes on.
+/// Prompt for further lines of a statement.
 const CONTINUATION: &str = "        ... ";
-/// File of the history, in the operator's home folder.
+/// History file in the home directory.
 const HISTORY_FILE: &str = ".gingerkeel_history";
-/// Words that end the shell.
+/// Commands that exit the shell.
 const QUIT: [&str; 2] = ["exit", "quit"];
 
-/// Reads texts of statements until the end of input and hands each to `execute`. A text ends
-/// with a line that ends with `;`, or with an empty line.
+/// Reads statements until the end of input and passes each to `execute`. A line that ends with `;`
+/// or an empty line completes the input.
 ///
 /// # Errors
-/// A [`ReadlineError`] when the terminal fails.
+/// Returns a [`ReadlineError`] if reading from the terminal fails.
 pub fn run(mut execute: impl FnMut(&str)) -> Result<(), ReadlineError> {
     let mut editor = DefaultEditor::new()?;
     let history = std::env::home_dir().map(|home| home.join(HISTORY_FILE));
@@ -38,7 +38,7 @@
         execute(&text);
     }
     if let Some(history) = history {
-        // A home folder that cannot be written to costs the history only.
+        // If the home directory is not writable, only the history is lost.
         let _ = editor.save_history(&history);
     }
     Ok(())
@@ -46,7 +46,7 @@
 
 fn load_history(editor: &mut DefaultEditor, history: Option<&PathBuf>) {
     if let Some(history) = history {
-        // There is none before the first run.
+        // The file does not exist before the first run.
         let _ = editor.load_history(history);
     }
 }
