--- a/crates/cli/tests/flags.rs
+++ b/crates/cli/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The flags of the command line, as an operator meets them.
+//! Command-line flags and exit codes.
 
 use std::process::{Command, Output};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn unreachable_control_process_has_an_exit_code_of_its_own() {
+fn unreachable_control_process_has_a_distinct_exit_code() {
     let output = run(&["--control", "127.0.0.1:1", "SHOW STATUS"]);
     assert_eq!(output.status.code(), Some(3));
 }
--- a/crates/cli/tests/operator_page.rs
+++ b/crates/cli/tests/operator_page.rs
@@ -1,4 +1,4 @@
-//! Every example of the operators' page is carried out, in its order, against a new cluster.
+//! Executes all examples of the operator documentation in order on a new cluster.
 
 mod support;
 
@@ -7,11 +7,11 @@
 use support::{run, start_control, stderr, stdout};
 
 const PAGE: &str = include_str!("../../../docs/operate/statements.md");
-/// Fence of statements that are carried out.
+/// Info string of code blocks with accepted statements.
 const ACCEPTED: &str = "gingerkeel";
-/// Fence of statements of which the last is refused.
+/// Info string of code blocks whose last statement is refused.
 const REFUSED: &str = "gingerkeel refused";
-/// Fence of what the command line prints for the statements before it.
+/// Info string of code blocks with the output of the preceding statements.
 const OUTPUT: &str = "text";
 
 struct Block {
--- a/crates/cli/tests/statements.rs
+++ b/crates/cli/tests/statements.rs
@@ -1,4 +1,4 @@
-//! The command line against a control process.
+//! Execution of statements by the command-line client on a control process.
 
 mod support;
 
@@ -9,7 +9,7 @@
 
 const DEFINE: &str = "DEFINE CALLER portal BUDGET 10 BURST 20";
 
-/// An address on which nobody listens.
+/// A loopback address without a listener.
 fn dead_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn change_whose_answer_is_lost_twice_is_made_once() {
+fn change_is_executed_once_after_two_lost_responses() {
     let process = start_control();
     let control = process.address;
     let relays = [LosingRelay::start(control), LosingRelay::start(control)];
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn next_control_process_is_asked_when_one_is_down() {
+fn next_control_process_is_tried_if_one_is_down() {
     let process = start_control();
     let control = process.address;
     let output = run(&[dead_address(), control], &[DEFINE]);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn unknown_outcome_tells_how_to_send_the_command_again() {
+fn error_on_unknown_outcome_contains_the_flags_for_a_retry() {
     let process = start_control();
     let control = process.address;
     let relay = LosingRelay::start(control);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn commands_of_a_named_session_are_numbered_on_from_run_to_run() {
+fn sequence_numbers_of_a_session_increase_across_runs() {
     let process = start_control();
     let control = process.address;
     for revision in 1..=2 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn wrong_statement_is_shown_with_its_place_and_nothing_is_sent() {
+fn syntax_error_is_shown_with_its_position_and_nothing_is_sent() {
     let process = start_control();
     let control = process.address;
     let output = run(&[control], &[&format!("{DEFINE}; DRAIN LEFT 3")]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn refusal_ends_a_file_with_its_exit_code() {
+fn refusal_stops_the_execution_of_a_file() {
     let process = start_control();
     let control = process.address;
     let folder = tempfile::tempdir().unwrap();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn replies_come_as_json() {
+fn replies_are_printed_as_json() {
     let process = start_control();
     let control = process.address;
     let output = run(&[control], &["--json", &format!("{DEFINE}; SHOW CALLERS")]);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn shell_carries_on_after_errors_and_keeps_a_history() {
+fn shell_continues_after_errors_and_saves_the_history() {
     let process = start_control();
     let control = process.address;
     let home = tempfile::tempdir().unwrap();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn session_that_is_no_name_is_a_usage_error() {
+fn invalid_session_name_is_a_usage_error() {
     let output = run(&[dead_address()], &["--session", "an na", DEFINE]);
     assert_eq!(output.status.code(), Some(2));
     assert!(stderr(&output).contains("use at most 64 letters"));
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A control process in a thread, and the command line against it.
+//! Runs a control process in a thread, and the command-line client against it.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -12,24 +12,24 @@
 use gingerkeel_settings::ControlSettings;
 use tempfile::TempDir;
 
-/// Time that a control process has to get ready; generous, for a busy machine.
+/// Startup timeout of a control process, long enough for a machine under load.
 const READY_LIMIT: Duration = Duration::from_secs(30);
 
-/// First port of a list.
+/// Port of the first address of a control process.
 const FIRST_PORT: u16 = 20_000;
-/// Second octet of the loopback hosts of tests; those of rehearsals are below.
+/// Lowest second octet of the loopback hosts of these tests. Rehearsals use lower octets.
 const FIRST_OCTET: u8 = 150;
-/// Control processes that a test process may start.
+/// Maximum number of control processes that a test process may start.
 const CALL_LIMIT: u8 = 100;
 
-/// A control process.
+/// Control process running in a thread.
 pub struct ControlProcess {
-    /// Where operators reach it.
+    /// Address for operator statements.
     pub address: SocketAddr,
     _folder: TempDir,
 }
 
-/// Starts a control process on free addresses; it ends with the test.
+/// Starts a control process on free addresses. It runs until the test process exits.
 pub fn start_control() -> ControlProcess {
     let [operators, feed] = free_addresses();
     let folder = tempfile::tempdir().unwrap();
@@ -48,9 +48,9 @@
     ControlProcess { address: operators, _folder: folder }
 }
 
-/// Addresses of a loopback host that no other call and no other test process uses, so that they
-/// are free. To bind them first and let them go would not do: a program that another test starts
-/// at that moment inherits the sockets for as long as it takes to start.
+/// Addresses of a loopback host that is unique to this call and test process. Binding port 0 and
+/// closing the socket does not work: a program that another test starts at that moment inherits the
+/// socket until its startup is complete.
 fn free_addresses() -> [SocketAddr; 2] {
     static CALLS: AtomicU8 = AtomicU8::new(0);
     let call = CALLS.fetch_add(1, Ordering::Relaxed);
@@ -60,14 +60,14 @@
     [0, 1].map(|number| SocketAddr::from((host, FIRST_PORT + number)))
 }
 
-/// A relay that passes a request on and loses the answer.
+/// Proxy that forwards requests and drops the responses.
 pub struct LosingRelay {
     pub address: SocketAddr,
     lost: Arc<AtomicUsize>,
 }
 
 impl LosingRelay {
-    /// Starts one in front of `target`; it ends with the test.
+    /// Starts a proxy for `target`. It runs until the test process exits.
     pub fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -82,7 +82,7 @@
         Self { address, lost }
     }
 
-    /// Answers that were lost.
+    /// Number of dropped responses.
     pub fn lost(&self) -> usize {
         self.lost.load(Ordering::SeqCst)
     }
@@ -91,7 +91,7 @@
 fn lose_answer(mut stream: TcpStream, target: SocketAddr) {
     let mut control = TcpStream::connect(target).unwrap();
     let mut part = [0; 16 * 1024];
-    // The head and the body of such a small request come in a part each at most.
+    // A request this small arrives in at most one segment each for the head and the body.
     stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     while let Ok(count) = stream.read(&mut part) {
         if count == 0 {
@@ -99,16 +99,16 @@
         }
         control.write_all(&part[..count]).unwrap();
     }
-    // The control process has carried it out once it answers.
+    // A response shows that the control process has executed the request.
     let _ = control.read(&mut part);
 }
 
-/// Runs the command line.
+/// Runs the command-line client.
 pub fn run(controls: &[SocketAddr], arguments: &[&str]) -> Output {
     command(controls, arguments).output().expect("the program starts")
 }
 
-/// Runs the shell on these lines.
+/// Runs the shell with `lines` as its input.
 pub fn shell(controls: &[SocketAddr], lines: &str, home: &std::path::Path) -> Output {
     let mut child = command(controls, &[])
         .env("HOME", home)
