--- a/crates/simulation/src/control/broker.rs
+++ b/crates/simulation/src/control/broker.rs
@@ -1,4 +1,4 @@
-//! A broker as far as it follows the catalog.
+//! State of a simulated broker that follows the catalog.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 use super::machine::MachineIndex;
 use super::message::{FeedContent, LinkNumber};
 
-/// First bound of the pause before another control machine is tried.
+/// Initial maximum backoff before trying another control machine.
 const BACK_OFF_BASE: Duration = Duration::from_millis(100);
-/// Largest bound of that pause.
+/// Upper limit of that backoff.
 const BACK_OFF_LIMIT: Duration = Duration::from_secs(1);
 
-/// Number of a broker in a run.
+/// Index of a broker in the simulated world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BrokerIndex(pub usize);
 
-/// A broker.
+/// A simulated broker process and its link to a control machine.
 pub struct Broker {
-    /// The rules under test.
+    /// The domain code under test.
     pub follower: FollowerState,
-    /// Number of the present run.
+    /// Number of restarts; identifies the current process.
     pub run: u64,
-    /// The machine that it is linked to, or tries.
+    /// The control machine to which the broker is connected or connecting.
     pub machine: MachineIndex,
-    /// The present link.
+    /// Number of the current link.
     pub link: LinkNumber,
     /// Whether the link is open.
     pub open: bool,
-    /// Whether the process stands still.
+    /// Whether the process is paused.
     pub frozen: bool,
-    /// What arrived while it stood still.
+    /// Messages received while the process was paused.
     pub backlog: Vec<(LinkNumber, FeedContent)>,
-    /// Pauses between attempts.
+    /// Backoff between connection attempts.
     pub back_off: BackOff,
-    /// Timer that is set.
+    /// Time of the next scheduled timer event.
     pub timer: Option<Timestamp>,
 }
 
 impl Broker {
-    /// A broker that tries `machine` first.
+    /// Creates a broker that connects to `machine` first.
     pub fn new(machine: MachineIndex) -> Self {
         Self {
             follower: new_follower(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The process ends and another one starts.
+    /// Replaces the process by a new one without a catalog.
     pub fn restart(&mut self) {
         let link = self.link;
         let run = self.run + 1;
@@ -65,7 +65,7 @@
     }
 }
 
-/// A follower without a catalog.
+/// Creates a follower without a catalog.
 pub fn new_follower() -> FollowerState {
     FollowerState::new(FollowerSettings::default())
 }
--- a/crates/simulation/src/control/brokers.rs
+++ b/crates/simulation/src/control/brokers.rs
@@ -1,4 +1,4 @@
-//! What brokers do to follow the catalog.
+//! Event handling of simulated brokers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::world::{ControlWorld, Event, SAMPLE_INTERVAL};
 use crate::virtual_clock::Schedule;
 
-/// Time without an open link after which a broker tries the next machine.
+/// Connection timeout, after which a broker tries the next machine.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
 impl ControlWorld {
@@ -54,7 +54,7 @@
                 FollowerEvent::Granted(grant)
             }
         };
-        // The adapter forgets what was in force, so that anything may follow.
+        // The mutant discards the catalog in force, so that the follower accepts any other one.
         if mutant == Some(Mutant::OlderCatalogTaken) && matches!(event, FollowerEvent::Connected) {
             broker.follower = new_follower();
         }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The link is of no use: another machine is tried after a pause.
+    /// Abandons the link and schedules a connection to the next machine after a backoff.
     pub(super) fn give_up_link(
         &mut self,
         now: Timestamp,
--- a/crates/simulation/src/control/check.rs
+++ b/crates/simulation/src/control/check.rs
@@ -1,5 +1,5 @@
-//! Checks of a history against the promises of the control tier, apart from the code that keeps
-//! them.
+//! Checks of a history against the guarantees of the control tier, independent of the code under
+//! test.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,37 +13,37 @@
 use super::broker::BrokerIndex;
 use super::history::{BrokerSample, CommandRecord, FinalState, History};
 
-/// Time after which an accepted change is in force everywhere.
+/// Maximum time until an accepted change is in force at every serving broker.
 const IN_FORCE_BOUND: Duration = Duration::from_secs(7);
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// Members applied different commands at the same place of the log.
+    /// Members applied different commands at the same log index.
     StatesDiverge(LogIndex),
-    /// A broker served by a configuration older than one accepted long before.
+    /// A broker served with a configuration that had been outdated for longer than the limit.
     NotInForce(BrokerIndex, Revision),
-    /// A broker went back to an older configuration.
+    /// A broker reverted to an older configuration.
     Reverted(BrokerIndex, Revision),
-    /// An accepted change is missing at the end, or stands at another revision.
+    /// An accepted change is missing from the final state or has another revision there.
     AcceptedLost(CommandId),
-    /// A change was carried out more than once.
+    /// A change was applied more than once.
     CarriedOutTwice(CommandId),
-    /// A command was told different outcomes.
+    /// The outcomes reported for a command differ.
     OutcomesDiffer(CommandId),
-    /// Two changes of the same thing, made against the same revision, were both accepted.
+    /// Two changes of the same target, based on the same revision, were both accepted.
     ConflictAccepted(CommandId),
-    /// The one who lost a race was told another winner than the one who won.
+    /// A conflict reply does not name the session of the accepted change.
     WrongWinner(CommandId),
-    /// A command has no outcome at the end.
+    /// No outcome was reported for a command.
     NoOutcome(CommandId),
-    /// The machines do not hold the same state at the end.
+    /// The final states of the machines differ.
     FinalStatesDiffer,
-    /// A broker does not serve by the last revision at the end.
+    /// A broker does not serve with the latest revision at the end.
     BrokerBehind(BrokerIndex),
 }
 
-/// All broken promises of a history.
+/// Returns all violations in a history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
     let diverged = history.divergences.iter().map(|found| found.index);
@@ -63,13 +63,13 @@
     })
 }
 
-/// The highest revision that was accepted by each moment at which one was.
+/// Highest accepted revision at the time of each reported acceptance.
 fn acceptances(history: &History) -> BTreeMap<Timestamp, Revision> {
-    let mut told: Vec<(Timestamp, Revision)> =
+    let mut reported: Vec<(Timestamp, Revision)> =
         history.commands.values().filter_map(accepted_revision).collect();
-    told.sort_unstable();
+    reported.sort_unstable();
     let mut highest = Revision(0);
-    let rising = told.into_iter().map(|(at, revision)| {
+    let rising = reported.into_iter().map(|(at, revision)| {
         highest = highest.max(revision);
         (at, highest)
     });
@@ -90,7 +90,8 @@
     }
 }
 
-/// Within a run the revision never falls; a new run serves none older than the run before.
+/// The revision of a broker process never decreases, and a restarted broker never serves with an
+/// older revision than the previous process.
 fn check_reverts(history: &History, violations: &mut Vec<Violation>) {
     let mut latest: BTreeMap<BrokerIndex, BrokerSample> = BTreeMap::new();
     for sample in &history.samples {
@@ -101,7 +102,8 @@
                 return;
             }
         }
-        // A run that has not come so far yet does not hide what the former one served by.
+        // A restarted broker that does not serve yet must not replace the revision of the previous
+        // process.
         let behind = latest
             .get(&sample.broker)
             .is_some_and(|former| former.run != sample.run && !sample.serves);
@@ -142,7 +144,7 @@
     if place.is_none_or(|accepted| accepted.change != *change || accepted.session != id.session) {
         violations.push(Violation::AcceptedLost(id.clone()));
     }
-    // Each change of an operator's own names a caller that no other change names.
+    // Each `DefineCaller` change has a unique caller name.
     let is_own = matches!(change, Change::DefineCaller { .. });
     let copies = last.changes.iter().filter(|accepted| accepted.change == *change).count();
     if is_own && copies > 1 {
@@ -150,7 +152,7 @@
     }
 }
 
-/// Changes that were made against a revision concern the leaf or the zone that is raced for.
+/// Checks concurrent changes of the contended leaf and zone; only these have a base revision.
 fn check_races(history: &History, violations: &mut Vec<Violation>) {
     let mut winners: BTreeMap<(Revision, Target), &CommandId> = BTreeMap::new();
     for (id, record) in &history.commands {
@@ -172,7 +174,7 @@
     }
 }
 
-/// Whether the change at this revision is of this session, as the machines hold it in the end.
+/// Whether the final states contain a change of this session at this revision.
 fn was_won_by(history: &History, session: &str, revision: Revision) -> bool {
     history
         .final_states
--- a/crates/simulation/src/control/disk.rs
+++ b/crates/simulation/src/control/disk.rs
@@ -1,28 +1,28 @@
-//! A disk whose unsynced writes are lost when its machine is killed.
+//! Simulated disk that loses unsynced writes when its machine is killed.
 
 use std::collections::VecDeque;
 
 use gingerkeel_domain::consensus::{Entry, Recovered, Write, WriteNumber};
 use gingerkeel_domain::time::Timestamp;
 
-/// A disk.
+/// Synced state and pending writes of a machine.
 #[derive(Debug, Default)]
 pub struct Disk {
-    /// What is synced.
+    /// Persistent state.
     pub synced: Recovered,
-    /// What is written and not synced, oldest first.
+    /// Writes not yet synced, oldest first.
     pub unsynced: VecDeque<Write>,
-    /// When the last write will be synced.
+    /// Time at which the last write will be synced.
     pub busy_until: Timestamp,
 }
 
 impl Disk {
-    /// A disk that holds `synced`.
+    /// Creates a disk with the persistent state `synced`.
     pub fn holding(synced: Recovered) -> Self {
         Self { synced, ..Self::default() }
     }
 
-    /// Writes up to `number` are synced.
+    /// Syncs all writes up to `number`.
     pub fn sync_up_to(&mut self, number: WriteNumber) {
         while self.unsynced.front().is_some_and(|write| write.number <= number) {
             if let Some(write) = self.unsynced.pop_front() {
--- a/crates/simulation/src/control/fault.rs
+++ b/crates/simulation/src/control/fault.rs
@@ -1,73 +1,74 @@
-//! Faults that a run meets, and mutants that switch a rule of the code off.
+//! Injected faults, and mutants that disable a rule of the code under test.
 
 use super::broker::BrokerIndex;
 use super::machine::MachineIndex;
 
-/// One fault.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The machine is killed; what it has not synced is lost.
+    /// Kills the machine; its unsynced writes are lost.
     Kill(MachineIndex),
-    /// The machine starts again from its disk.
+    /// Restarts the machine from its disk.
     Restart(MachineIndex),
-    /// The machine is killed and its disk is lost; it starts as a new member.
+    /// Kills the machine and erases its disk; it restarts as a new member.
     LoseDisk(MachineIndex),
-    /// All machines are killed at the same moment.
+    /// Kills all machines at the same time.
     KillAll,
-    /// Whoever leads is killed and starts again after a second.
+    /// Kills the leader and restarts it after one second.
     KillLeader,
-    /// Whoever leads stands still and goes on after three seconds.
+    /// Pauses the leader for three seconds.
     FreezeLeader,
-    /// The machine stands still.
+    /// Pauses the machine.
     Freeze(MachineIndex),
-    /// The machine goes on.
+    /// Resumes the machine.
     Thaw(MachineIndex),
-    /// Nothing passes to or from the machine, and nobody is told.
+    /// Silently drops all messages to and from the machine.
     Isolate(MachineIndex),
-    /// Nothing that the machine sends arrives.
+    /// Drops all messages from the machine.
     Mute(MachineIndex),
-    /// Nothing that is sent to the machine arrives.
+    /// Drops all messages to the machine.
     Deafen(MachineIndex),
-    /// Nothing passes between the machine and the others; brokers and operators reach it.
+    /// Drops all messages between the machine and other machines. Brokers and operators still reach
+    /// it.
     CutFromPeers(MachineIndex),
-    /// The machine's messages pass again.
+    /// Ends the isolation of the machine.
     Rejoin(MachineIndex),
-    /// The regions lose each other.
+    /// Partitions the network between the regions.
     CutRegions,
-    /// The regions see each other again.
+    /// Ends the partition between the regions.
     HealRegions,
-    /// The broker stands still.
+    /// Pauses the broker.
     FreezeBroker(BrokerIndex),
-    /// The broker goes on.
+    /// Resumes the broker.
     ThawBroker(BrokerIndex),
-    /// The broker starts anew, without a catalog.
+    /// Restarts the broker without a catalog.
     RestartBroker(BrokerIndex),
-    /// This share of the answers to operators is lost.
+    /// Drops this fraction of the replies to operators.
     LoseAnswers(f64),
-    /// This share of all messages is lost.
+    /// Drops this fraction of all messages.
     LoseMessages(f64),
 }
 
-/// A fault and when it comes.
+/// A fault with its time.
 pub type TimedFault = crate::fault_plan::TimedFault<Fault>;
 
-/// A rule of the code that is switched off by an adapter round it.
+/// A rule that the simulation disables, to show that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// A control machine grants leases from its own state, without a quorum.
+    /// A control machine grants leases without confirmation by a quorum.
     UnconfirmedGrants,
-    /// A broker goes on when its lease has ended.
+    /// A broker continues to serve after its lease has expired.
     LeaseIgnored,
-    /// A broker takes whatever catalog a control machine offers.
+    /// A broker accepts an older catalog after reconnecting.
     OlderCatalogTaken,
-    /// A resent command comes under a new number.
+    /// A retried command gets a new sequence number.
     ResendsRenumbered,
-    /// The revision that a change was made against is not looked at.
+    /// The base revision of a change is ignored.
     ConflictsIgnored,
-    /// Writes are reported as persisted before they are.
+    /// Writes are reported as persisted before they are synced.
     PersistedTooEarly,
-    /// A restarted machine has forgotten its vote.
+    /// A restarted machine loses its vote.
     VoteForgotten,
-    /// A machine that lost its disk goes on under its old identity.
+    /// A machine that has lost its disk keeps its member identity.
     IdentityKept,
 }
--- a/crates/simulation/src/control/faults.rs
+++ b/crates/simulation/src/control/faults.rs
@@ -1,4 +1,4 @@
-//! How faults change the world.
+//! Fault injection.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use super::world::{ControlWorld, Event};
 use crate::virtual_clock::Schedule;
 
-/// Time after which a killed leader starts again.
+/// Downtime of a killed leader.
 const LEADER_DOWN: Duration = Duration::from_secs(1);
-/// Time for which a frozen leader stands still.
+/// Duration of a leader's pause.
 const LEADER_FROZEN: Duration = Duration::from_secs(3);
 
 impl ControlWorld {
@@ -98,9 +98,10 @@
         }
     }
 
-    /// Only one disk is lost at a time: not before its machine is a voter again.
+    /// Erases the disk of a machine, unless an earlier loss has not been repaired: all machines
+    /// must be voters.
     fn lose_disk(&mut self, now: Timestamp, index: MachineIndex, schedule: &mut Schedule<Event>) {
-        if !self.is_whole() {
+        if !self.all_machines_vote() {
             return;
         }
         self.kill(index, schedule);
@@ -113,8 +114,8 @@
         self.start(now, index, schedule);
     }
 
-    /// Whether every machine is a voter in the leader's eyes.
-    fn is_whole(&self) -> bool {
+    /// Whether all machines are voters in the leader's configuration.
+    fn all_machines_vote(&self) -> bool {
         let leader = self.leader().and_then(|leader| self.machines[leader.0].process.as_ref());
         let identities = self.machines.iter().map(|machine| machine.identity);
         leader.is_some_and(|process| {
--- a/crates/simulation/src/control/feeds.rs
+++ b/crates/simulation/src/control/feeds.rs
@@ -1,4 +1,4 @@
-//! What control machines send to brokers, and the reads that a quorum confirms for it.
+//! Feeds from control machines to brokers, and linearizable reads for leases and revisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::world::{ControlWorld, Event};
 use crate::virtual_clock::Schedule;
 
-/// How long a broker may serve from when it asked for a lease.
+/// Lease duration, from the time of the broker's request.
 const LEASE: Duration = Duration::from_secs(4);
 
 impl ControlWorld {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends every feed what it lacks.
+    /// Sends missing changes on all feeds.
     pub(super) fn push_changes(&mut self, index: MachineIndex, schedule: &mut Schedule<Event>) {
         let Some(process) = self.machines[index.0].process.as_mut() else {
             return;
@@ -123,7 +123,8 @@
     }
 }
 
-/// What a feed that holds `revision` lacks: changes, or the whole catalog.
+/// Updates for a broker at `revision`: the changes since then, or the full catalog if they are no
+/// longer in the history.
 fn missing_contents(state: &ClusterState, revision: Revision) -> Vec<FeedContent> {
     match state.history().since(state.catalog().revision(), revision) {
         Some(changes) => changes
--- a/crates/simulation/src/control/history.rs
+++ b/crates/simulation/src/control/history.rs
@@ -1,4 +1,4 @@
-//! What operators and brokers saw, and what the machines hold in the end.
+//! Observations of operators and brokers, and the final states of the machines.
 
 use std::collections::BTreeMap;
 
@@ -10,61 +10,61 @@
 
 use super::broker::BrokerIndex;
 
-/// A command and the outcomes that its operator was told.
+/// A command and its reported outcomes.
 #[derive(Debug, Clone)]
 pub struct CommandRecord {
-    /// The command.
+    /// The command as first sent.
     pub request: ChangeRequest,
-    /// Outcomes with the time of each.
+    /// Each outcome with the time of its arrival.
     pub outcomes: Vec<(Timestamp, ChangeOutcome)>,
 }
 
-/// What a broker works by at a moment.
+/// Snapshot of a broker's state.
 #[derive(Debug, Clone, Copy)]
 pub struct BrokerSample {
     /// The broker.
     pub broker: BrokerIndex,
-    /// The moment.
+    /// Time of the sample.
     pub at: Timestamp,
-    /// Number of the broker's run.
+    /// Number of restarts of the broker.
     pub run: u64,
     /// Revision in force.
     pub revision: Revision,
-    /// Whether it serves queries.
+    /// Whether the broker serves queries.
     pub serves: bool,
 }
 
-/// A member applied another command than the others at the same place of the log.
+/// A log index at which a member applied a different command than another member.
 #[derive(Debug, Clone, Copy)]
 pub struct Divergence {
-    /// The member.
+    /// Member that applied a different command.
     pub member: MemberId,
-    /// The place.
+    /// Log index of the command.
     pub index: LogIndex,
 }
 
-/// The state of a machine at the end.
+/// State of a machine at the end of the run.
 #[derive(Debug, Clone)]
 pub struct FinalState {
-    /// Its catalog.
+    /// Catalog of the machine.
     pub catalog: Catalog,
     /// The accepted changes, oldest first.
     pub changes: Vec<AcceptedChange>,
 }
 
-/// What was seen in a run.
+/// Observations of a run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Commands by identity.
+    /// Commands by session and sequence number.
     pub commands: BTreeMap<CommandId, CommandRecord>,
-    /// Samples of brokers, in order of time.
+    /// Samples of brokers, ordered by time.
     pub samples: Vec<BrokerSample>,
-    /// Places at which members applied different commands.
+    /// Log indexes at which members applied different commands.
     pub divergences: Vec<Divergence>,
-    /// Machines that run at the end.
+    /// States of the machines that run at the end.
     pub final_states: Vec<FinalState>,
-    /// Full copies of the catalog that were sent.
+    /// Number of full catalogs sent to brokers.
     pub full_copies: usize,
-    /// Links that brokers opened.
+    /// Number of connection attempts of brokers.
     pub connects: usize,
 }
--- a/crates/simulation/src/control/machine.rs
+++ b/crates/simulation/src/control/machine.rs
@@ -1,5 +1,4 @@
-//! A control machine: the core of the replicated log, its disk, the cluster's state, and the
-//! feeds of the brokers that are linked to it.
+//! State of a simulated control machine: consensus node, disk, cluster state and broker feeds.
 
 use std::collections::BTreeMap;
 
@@ -15,77 +14,77 @@
 use super::message::{LinkNumber, Message};
 use super::operator::OperatorIndex;
 
-/// Number of a control machine in a run.
+/// Index of a control machine in the simulated world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineIndex(pub usize);
 
-/// The feed of one broker.
+/// Feed to a connected broker.
 #[derive(Debug, Clone, Copy)]
 pub struct Feed {
-    /// The broker's link.
+    /// Link of the broker.
     pub link: LinkNumber,
-    /// The last revision that was sent on it; none before the broker subscribed.
+    /// Last revision sent. `None` before the broker subscribes.
     pub sent: Option<Revision>,
 }
 
-/// A read that a quorum has to confirm, and who waits for it.
+/// A linearizable read that awaits confirmation by a quorum.
 #[derive(Debug, Clone, Copy)]
 pub enum PendingRead {
-    /// A broker waits for a lease.
+    /// Lease request of a broker, with the link and the ticket.
     Lease(BrokerIndex, LinkNumber, u64),
-    /// An operator waits for the accepted revision.
+    /// Request of an operator for the accepted revision.
     Revision(OperatorIndex),
 }
 
-/// A read that waits for its index to be applied.
+/// A confirmed read that waits until its log index has been applied.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfirmedRead {
-    /// The index.
+    /// Log index that must be applied first.
     pub index: LogIndex,
-    /// The read.
+    /// The confirmed read.
     pub read: PendingRead,
 }
 
-/// What is lost when the process ends.
+/// Volatile state of a machine.
 pub struct Process {
-    /// The core.
+    /// Consensus node.
     pub node: Node,
-    /// The state as applied.
+    /// State after all applied log entries.
     pub state: ClusterState,
     /// Feeds by broker.
     pub feeds: BTreeMap<BrokerIndex, Feed>,
-    /// Operators that wait for the outcome of a command.
+    /// Operators to notify of the outcome, by command.
     pub waiting: BTreeMap<CommandId, OperatorIndex>,
-    /// Reads that are not confirmed.
+    /// Unconfirmed reads by request number.
     pub reads: BTreeMap<u64, PendingRead>,
-    /// Reads that are confirmed but not applied.
+    /// Confirmed reads whose log index has not been applied yet.
     pub confirmed: Vec<ConfirmedRead>,
-    /// Timer that is set.
+    /// Time of the next scheduled timer event.
     pub timer: Option<Timestamp>,
 }
 
-/// A control machine.
+/// A control machine with its disk and process.
 pub struct Machine {
-    /// Its identity as a member.
+    /// Member identity in the cluster.
     pub identity: MemberId,
-    /// Its disk.
+    /// Disk; survives the process.
     pub disk: Disk,
-    /// Its process, while it runs.
+    /// Process, or `None` while it is down.
     pub process: Option<Process>,
-    /// Grows with each start and end, so that events of an earlier run are told apart.
+    /// Incremented at each start and kill, to discard events of earlier processes.
     pub run: u64,
-    /// Whether it stands still.
+    /// Whether the process is paused.
     pub frozen: bool,
-    /// What arrived while it stood still.
+    /// Messages received while the process was paused.
     pub backlog: Vec<Message>,
-    /// The last write that was synced while it stood still.
+    /// Last write synced while the process was paused.
     pub synced_in_freeze: Option<WriteNumber>,
-    /// Number of the next read.
+    /// Counter of read requests.
     pub next_read: u64,
 }
 
 impl Machine {
-    /// A machine that does not run yet.
+    /// Creates a machine without a process.
     pub fn new(identity: MemberId, synced: Recovered) -> Self {
         Self {
             identity,
@@ -99,18 +98,18 @@
         }
     }
 
-    /// The process, unless it stands still or does not run.
+    /// The process, or `None` if it is paused or down.
     pub fn active(&mut self) -> Option<&mut Process> {
         self.process.as_mut().filter(|_| !self.frozen)
     }
 
-    /// Whether the process believes that it leads.
+    /// Whether the process is in the leader role.
     pub fn leads(&self) -> bool {
         let process = self.process.as_ref();
         process.is_some_and(|process| process.node.status().role == RoleName::Leader)
     }
 
-    /// The process ends; unsynced writes are lost. Gives the links that break.
+    /// Kills the process and discards unsynced writes. Returns the broken links.
     pub fn kill(&mut self) -> Vec<(BrokerIndex, LinkNumber)> {
         self.run += 1;
         self.frozen = false;
@@ -121,14 +120,14 @@
         feeds.into_iter().map(|(broker, feed)| (broker, feed.link)).collect()
     }
 
-    /// Takes the number of a new read.
+    /// Returns a new read request number.
     pub fn take_read_number(&mut self) -> RequestNumber {
         self.next_read += 1;
         RequestNumber(self.next_read)
     }
 }
 
-/// The machine that an envelope is for.
+/// Destination machine of an envelope.
 pub fn receiver(envelope: &Envelope) -> MachineIndex {
     MachineIndex(envelope.to.node.0 as usize - 1)
 }
--- a/crates/simulation/src/control/machines.rs
+++ b/crates/simulation/src/control/machines.rs
@@ -1,4 +1,4 @@
-//! What control machines do: the replicated log, the state, and the feeds of brokers.
+//! Event handling of simulated control machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,9 +22,9 @@
 use super::world::{ControlWorld, Event, MANAGE_INTERVAL};
 use crate::virtual_clock::Schedule;
 
-/// Applied entries after which a machine takes a snapshot.
+/// Number of applied entries between snapshots.
 const SNAPSHOT_EVERY: u64 = 40;
-/// Time of day at which a run begins, in milliseconds since 1970.
+/// Wall-clock time at the start of a run, in milliseconds since 1970.
 const START_OF_RUN: u64 = 1_700_000_000_000;
 
 impl ControlWorld {
@@ -88,7 +88,7 @@
                 process.waiting.insert(request.id.clone(), operator);
                 let command = self.command(now, request);
                 let process = self.machines[index.0].process.as_mut().expect("it runs");
-                // A command that is not taken is sent again by its operator.
+                // If the proposal is refused, the operator retries the command.
                 let _ = process.node.propose(now, command);
             }
             Message::AskRevision(operator) => {
@@ -99,7 +99,7 @@
         self.settle(now, index, schedule);
     }
 
-    /// The machine is up but its process is not: whoever connects is told at once.
+    /// Refuses a connection or subscription while the process is down but the machine is up.
     pub(super) fn refuse(
         &mut self,
         index: MachineIndex,
@@ -120,7 +120,7 @@
         Bytes::from(encode_document(&command).expect("commands can be serialized"))
     }
 
-    /// Does what a machine's core asks for.
+    /// Processes all pending output of the consensus node.
     pub(super) fn settle(
         &mut self,
         now: Timestamp,
@@ -295,7 +295,8 @@
         self.settle(now, index, schedule);
     }
 
-    /// The leader takes in machines that are no members, and replaces lost disks.
+    /// If the machine is the leader, replaces members that have lost their disks and adds machines
+    /// that are not members.
     pub(super) fn manage(
         &mut self,
         now: Timestamp,
@@ -311,10 +312,10 @@
             return;
         };
         let configuration = process.node.configuration();
-        let stranger = identities.into_iter().find(|member| !configuration.contains(*member));
-        let change = process.node.due_replacement(now).or(stranger.map(MemberChange::AddLearner));
+        let missing = identities.into_iter().find(|member| !configuration.contains(*member));
+        let change = process.node.due_replacement(now).or(missing.map(MemberChange::AddLearner));
         if let Some(change) = change {
-            // A change that is not taken is tried again.
+            // If the change is refused, the next `Manage` event retries it.
             let _ = process.node.change_members(now, change);
         }
         self.settle(now, index, schedule);
--- a/crates/simulation/src/control/message.rs
+++ b/crates/simulation/src/control/message.rs
@@ -12,7 +12,7 @@
 use super::machine::MachineIndex;
 use super::operator::OperatorIndex;
 
-/// One end of a message.
+/// Sender or receiver of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
     /// A control machine.
@@ -23,26 +23,26 @@
     Operator(OperatorIndex),
 }
 
-/// Number of a broker's link; a message of an earlier link is not for the present one.
+/// Number of a broker's link. Messages of earlier links are discarded.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkNumber(pub u64);
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Debug, Clone)]
 pub enum Message {
-    /// Of the replicated log.
+    /// Consensus message between control machines.
     Peer(Envelope),
-    /// A broker opens a link.
+    /// Connection request of a broker.
     Connect(BrokerIndex, LinkNumber),
-    /// A broker subscribes on a link, holding this revision.
+    /// Subscription of a broker that has this revision.
     Subscribe(BrokerIndex, LinkNumber, Revision),
-    /// A broker asks for a lease.
+    /// Lease request of a broker, with its ticket.
     Renew(BrokerIndex, LinkNumber, u64),
-    /// Of a feed, to a broker.
+    /// Feed message to a broker.
     Feed(LinkNumber, FeedContent),
-    /// An operator sends a change.
+    /// Change request of an operator.
     Request(OperatorIndex, ChangeRequest),
-    /// An operator asks for the accepted revision.
+    /// Request of an operator for the accepted revision.
     AskRevision(OperatorIndex),
     /// The outcome of a change.
     Reply(ChangeRequest, ChangeOutcome),
@@ -50,17 +50,17 @@
     RevisionIs(Revision),
 }
 
-/// What a feed carries.
+/// Content of a feed message.
 #[derive(Debug, Clone)]
 pub enum FeedContent {
     /// The link is open.
     Open,
     /// The link is broken.
     Broken,
-    /// The whole catalog.
+    /// The full catalog.
     FullCatalog(Arc<Catalog>),
-    /// One change.
+    /// One change with its revision.
     Change(Revision, Change),
-    /// A lease.
+    /// A granted lease.
     Grant(LeaseGrant),
 }
--- a/crates/simulation/src/control/mod.rs
+++ b/crates/simulation/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control tier in simulation: replicated configuration, feeds to brokers, operators, faults
-//! and checks.
+//! Simulation of the control tier: replicated configuration, broker feeds, operators, faults and
+//! checks.
 
 mod broker;
 mod brokers;
--- a/crates/simulation/src/control/network.rs
+++ b/crates/simulation/src/control/network.rs
@@ -1,4 +1,5 @@
-//! Delays, losses and cuts between control machines, brokers and operators over two regions.
+//! Simulated network between control machines, brokers and operators in two regions, with delays,
+//! message loss and partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,20 +16,20 @@
 /// One-way delay between regions, in microseconds.
 const FAR_DELAY: std::ops::Range<u64> = 11_000..14_000;
 
-/// Time after which the transport sends again what a feed lost, in microseconds.
+/// Retransmission delay of a lost feed message, in microseconds.
 const RETRANSMISSION: std::ops::Range<u64> = 200_000..400_000;
 
 /// One of the two regions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Region {
-    /// Three of the five voters are here.
+    /// Region with three of the five voters.
     South,
-    /// Two of the five voters are here.
+    /// Region with two of the five voters.
     North,
 }
 
 impl Region {
-    /// Where an end of a message is.
+    /// Region of an endpoint.
     pub fn of(endpoint: Endpoint) -> Self {
         match endpoint {
             Endpoint::Machine(machine) if machine.0 < 3 => Self::South,
@@ -41,28 +42,28 @@
     }
 }
 
-/// The network of one run.
+/// State of the network.
 #[derive(Debug, Default)]
 pub struct Network {
-    /// Whether the regions are cut from each other.
+    /// Whether the network between the regions is partitioned.
     pub regions_cut: bool,
-    /// Ends that nothing leaves.
+    /// Endpoints whose outgoing messages are dropped.
     pub mute: BTreeSet<Endpoint>,
-    /// Ends that nothing reaches.
+    /// Endpoints whose incoming messages are dropped.
     pub deaf: BTreeSet<Endpoint>,
-    /// Machines that reach no other machine.
+    /// Machines that are isolated from other machines.
     pub without_peers: BTreeSet<MachineIndex>,
-    /// Share of messages that are lost.
+    /// Fraction of lost messages.
     pub loss: f64,
-    /// Share of answers to operators that are lost.
+    /// Fraction of lost replies to operators.
     pub answer_loss: f64,
-    /// When the last message between two ends arrives; none overtakes another.
+    /// Arrival time of the last message between two endpoints. Messages are not reordered.
     arrivals: BTreeMap<(Endpoint, Endpoint), Timestamp>,
 }
 
 impl Network {
-    /// One-way delay of a message that is sent now, or none when it is lost. Feeds run over a
-    /// transport that sends again what was lost; a cut loses it all the same.
+    /// One-way delay of a message sent now, or `None` if it is lost. Feed messages are
+    /// retransmitted after a random loss, but not across a partition.
     pub fn delay(
         &mut self,
         now: Timestamp,
@@ -104,13 +105,13 @@
         }
     }
 
-    /// Nothing passes to or from an end.
+    /// Drops all messages to and from an endpoint.
     pub fn isolate(&mut self, endpoint: Endpoint) {
         self.mute.insert(endpoint);
         self.deaf.insert(endpoint);
     }
 
-    /// Everything passes to and from an end, but for a cut between the regions.
+    /// Ends the isolation of an endpoint. A partition between the regions remains.
     pub fn rejoin(&mut self, endpoint: Endpoint) {
         self.mute.remove(&endpoint);
         self.deaf.remove(&endpoint);
--- a/crates/simulation/src/control/operator.rs
+++ b/crates/simulation/src/control/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: commands, resends and races.
+//! State of a simulated operator.
 
 use gingerkeel_domain::catalog::{CallerAccount, Change, Leaf};
 use gingerkeel_domain::cluster::{ChangeOutcome, ChangeRequest, CommandId};
@@ -6,26 +6,26 @@
 
 use super::machine::MachineIndex;
 
-/// Number of an operator in a run.
+/// Index of an operator in the simulated world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperatorIndex(pub usize);
 
-/// An operator with one session.
+/// An operator with one session and at most one outstanding command.
 #[derive(Debug)]
 pub struct Operator {
-    /// Name of the session.
+    /// Session name.
     pub session: SessionName,
-    /// The control machine that is asked next.
+    /// Control machine for the next request.
     pub machine: MachineIndex,
-    /// The command without an outcome.
+    /// Command without an outcome yet.
     pub outstanding: Option<ChangeRequest>,
-    /// The accepted revision as last told.
+    /// Highest known accepted revision.
     pub known: Revision,
     next_sequence: u64,
 }
 
 impl Operator {
-    /// An operator that asks `machine` first.
+    /// Creates an operator that sends its first request to `machine`.
     pub fn new(number: usize, machine: MachineIndex) -> Self {
         Self {
             session: SessionName::new(format!("operator-{number}")),
@@ -36,24 +36,24 @@
         }
     }
 
-    /// A change of the operator's own, which nothing conflicts with.
+    /// Creates a change that conflicts with no other change.
     pub fn own_change(&mut self) -> ChangeRequest {
         let account = CallerAccount { budget_per_second: self.next_sequence, burst: 1 };
         let caller = CallerName::new(format!("{}-{}", self.session, self.next_sequence));
         self.request(None, Change::DefineCaller { caller, account })
     }
 
-    /// The addition of a leaf.
+    /// Creates a change that adds a leaf.
     pub fn addition(&mut self, leaf: Leaf) -> ChangeRequest {
         self.request(None, Change::AddLeaf(leaf))
     }
 
-    /// A change of what all operators race for, made against the revision last told.
+    /// Creates a change of a contended target, based on the highest known revision.
     pub fn racing_change(&mut self, change: Change) -> ChangeRequest {
         self.request(Some(self.known), change)
     }
 
-    /// The outcome of a command came.
+    /// Records the outcome of a command.
     pub fn told(&mut self, request: &ChangeRequest, outcome: &ChangeOutcome) {
         if self.outstanding.as_ref().is_some_and(|outstanding| outstanding.id == request.id) {
             self.outstanding = None;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The outstanding command under a new number, as if it had never been sent.
+    /// Assigns a new sequence number to the outstanding command.
     pub fn renumber(&mut self) {
         let sequence = self.take_sequence();
         if let Some(outstanding) = &mut self.outstanding {
--- a/crates/simulation/src/control/operators.rs
+++ b/crates/simulation/src/control/operators.rs
@@ -1,4 +1,5 @@
-//! What operators do: changes, races for the same thing, and resends.
+//! Event handling of simulated operators: independent changes, concurrent changes of the same
+//! target, and retries.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -17,29 +18,29 @@
 use super::world::{ControlWorld, Event, RACE_INTERVAL};
 use crate::virtual_clock::Schedule;
 
-/// Time without an answer after which an operator sends its command to the next machine.
+/// Request timeout, after which an operator retries its command at the next machine.
 const RESEND_AFTER: Duration = Duration::from_millis(900);
-/// Time before a race in which the operators look up the accepted revision.
+/// Time between the lookup of the accepted revision and the concurrent changes.
 const RACE_LOOKUP: Duration = Duration::from_millis(300);
-/// The leaf that operators race for.
+/// Leaf that all operators change concurrently.
 const RACED_LEAF: LeafId = LeafId(1);
-/// The zone that operators race for.
+/// Zone that all operators change concurrently.
 const RACED_ZONE: &str = "raced";
 
-/// Drains the leaf, or takes it back.
+/// Drains the contended leaf, or reactivates it.
 fn leaf_order(drain: bool) -> Change {
     let state = if drain { LeafState::Draining } else { LeafState::Active };
     Change::SetLeafState { leaf: RACED_LEAF, state }
 }
 
-/// Evacuates the zone, or restores it.
+/// Evacuates the contended zone, or restores it.
 fn zone_order(evacuate: bool) -> Change {
     let zone = ZoneName::new(RACED_ZONE);
     if evacuate { Change::EvacuateZone(zone) } else { Change::RestoreZone(zone) }
 }
 
 impl ControlWorld {
-    /// The first operator adds the leaf that all race for.
+    /// Submits the addition of the contended leaf by the first operator.
     pub(super) fn add_raced_leaf(&mut self, schedule: &mut Schedule<Event>) {
         let request = self.operators[0].addition(raced_leaf());
         self.submit(OperatorIndex(0), request, schedule);
@@ -77,7 +78,7 @@
 
     pub(super) fn race(&mut self, schedule: &mut Schedule<Event>) {
         schedule.after(RACE_INTERVAL, Event::RaceLookup);
-        // By turns for the leaf and for a zone.
+        // Alternates between the leaf and the zone.
         self.races += 1;
         let zones = self.races.is_multiple_of(2);
         for operator in (0..self.operators.len()).map(OperatorIndex) {
@@ -107,7 +108,7 @@
         schedule.after(RESEND_AFTER, Event::ResendDue(index, request));
     }
 
-    /// No answer came: the same command goes to the next machine.
+    /// Retries the command at the next machine if it is still outstanding.
     pub(super) fn resend(
         &mut self,
         index: OperatorIndex,
--- a/crates/simulation/src/control/scenario.rs
+++ b/crates/simulation/src/control/scenario.rs
@@ -1,4 +1,4 @@
-//! Named scenarios of the control tier.
+//! Scenarios of the control tier.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,29 +22,29 @@
 use crate::trace::Trace;
 use crate::virtual_clock::{ClockError, Schedule, run};
 
-/// Control machines, all voters: three in one region and two in the other.
+/// Number of control machines, all voters: three in one region and two in the other.
 const MACHINES: usize = 5;
-/// Brokers, half of them in each region.
+/// Number of brokers, half of them in each region.
 const BROKERS: usize = 6;
-/// Operators, equal numbers in each region.
+/// Number of operators, half of them in each region.
 const OPERATORS: usize = 4;
-/// Time during which operators change things and faults come.
+/// Duration of the phase with changes and faults.
 const ACTIVE: Duration = Duration::from_secs(20);
-/// Time after which everything has to be whole again.
+/// Maximum recovery time after all faults have ended.
 const SETTLING: Duration = Duration::from_secs(12);
-/// Mean time between an operator's own changes.
+/// Mean interval between independent changes of an operator.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
-/// The same where hundreds of changes are to come.
+/// Mean interval in scenarios that need hundreds of changes.
 const FAST_CHANGES: Duration = Duration::from_millis(90);
-/// A scenario: the faults that a run meets, and how fast operators change things.
+/// A fault plan with the rate of changes.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Mean time between changes of one operator.
+    /// Mean interval between independent changes of an operator.
     pub change_interval: Duration,
     plan: FaultPlan<Fault>,
 }
 
-/// What a run gave.
+/// Result of a run.
 pub type Outcome = crate::outcome::Outcome<History, Violation>;
 
 fn any_machine(random: &mut Pcg64) -> MachineIndex {
@@ -59,13 +59,13 @@
     random.random_range(4_000..9_000)
 }
 
-/// The fault at a random moment, and its end after `span` milliseconds.
+/// The fault at a random time, and its end after `span` milliseconds.
 fn for_a_while(random: &mut Pcg64, span: u64, fault: Fault, end: Fault) -> Vec<TimedFault> {
     let moment = any_moment(random);
     vec![at(moment, fault), at(moment + span, end)]
 }
 
-/// Each machine in turn meets a fault that ends before the next one's comes.
+/// A fault at each machine in turn, which ends before the fault at the next machine begins.
 fn in_turn(
     random: &mut Pcg64,
     fault: fn(MachineIndex) -> Fault,
@@ -192,17 +192,17 @@
         ]
     }
 
-    /// The scenario of this name.
+    /// Finds a scenario by name.
     pub fn named(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|scenario| scenario.name() == name)
     }
 
-    /// Name, as the command line takes it; a pair has both names.
+    /// Scenario name. A pair has the names of both scenarios.
     pub fn name(&self) -> String {
         self.plan.name()
     }
 
-    /// This scenario with the faults of another one too, at the faster changes of the two.
+    /// Combines the faults of two scenarios, with the shorter change interval.
     pub fn with(&self, other: &Self) -> Self {
         Self {
             change_interval: self.change_interval.min(other.change_interval),
@@ -210,16 +210,16 @@
         }
     }
 
-    /// The faults of a run with this seed.
+    /// Draws the faults for `seed`.
     pub fn faults(&self, seed: u64) -> Vec<TimedFault> {
         self.plan.faults(seed)
     }
 }
 
-/// Runs faults and checks what came of it.
+/// Runs the world with `faults` and checks its history.
 ///
 /// # Errors
-/// A [`ClockError`] when the code under simulation panics.
+/// Returns a [`ClockError`] if the code under simulation panics.
 pub fn run_scenario(
     seed: u64,
     change_interval: Duration,
--- a/crates/simulation/src/control/world.rs
+++ b/crates/simulation/src/control/world.rs
@@ -1,4 +1,4 @@
-//! The world of the control tier: who does what on which event.
+//! Simulated world of the control tier, and the dispatch of its events.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,77 +20,77 @@
 use crate::trace::Trace;
 use crate::virtual_clock::{Schedule, World};
 
-/// Time between samples of a broker.
+/// Interval between samples of a broker.
 pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between a machine's looks at its members.
+/// Interval between membership checks of a machine.
 pub(super) const MANAGE_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between races of all operators for the same thing.
+/// Interval between concurrent changes of all operators.
 pub(super) const RACE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// What happens in the world.
+/// Event of the simulated world. Machine and broker events carry the run number of the process.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A message arrives.
+    /// Arrival of a message.
     Arrives(Endpoint, Message),
-    /// The timer of a machine's core may be due.
+    /// Timer of a machine's consensus node, possibly outdated.
     MachineTimer(MachineIndex, u64),
-    /// A write of a machine is synced.
+    /// Completed disk write of a machine.
     Synced(MachineIndex, u64, WriteNumber),
-    /// A machine looks at its members.
+    /// Membership check of a machine.
     Manage(MachineIndex),
-    /// The timer of a broker may be due.
+    /// Timer of a broker, possibly outdated.
     BrokerTimer(BrokerIndex, u64),
-    /// A broker tries the next machine.
+    /// Connection attempt of a broker.
     Reconnect(BrokerIndex, u64, LinkNumber),
-    /// A broker's attempt to open a link takes too long.
+    /// Timeout of a broker's connection attempt.
     ConnectLate(BrokerIndex, u64, LinkNumber),
-    /// A broker is sampled.
+    /// Sample of a broker's state.
     Sample(BrokerIndex),
-    /// The first operator adds the leaf that all race for.
+    /// Addition of the contended leaf by the first operator.
     AddRacedLeaf,
-    /// An operator makes a change of its own.
+    /// Independent change of an operator.
     OwnChange(OperatorIndex),
-    /// All operators look up the accepted revision.
+    /// Lookup of the accepted revision by all operators.
     RaceLookup,
-    /// All operators change the same thing.
+    /// Concurrent changes of the same target by all operators.
     Race,
-    /// An operator has waited for long.
+    /// Request timeout of an operator.
     ResendDue(OperatorIndex, ChangeRequest),
-    /// A fault comes.
+    /// Injected fault.
     Fault(Fault),
-    /// All faults end.
+    /// End of all faults.
     HealAll,
 }
 
-/// The world of the control tier.
+/// State of the simulated control tier.
 pub struct ControlWorld {
-    /// The present moment.
+    /// Current time.
     pub now: Timestamp,
-    /// Machines by number.
+    /// Machines by index.
     pub machines: Vec<Machine>,
-    /// Brokers by number.
+    /// Brokers by index.
     pub brokers: Vec<Broker>,
-    /// Operators by number.
+    /// Operators by index.
     pub operators: Vec<Operator>,
-    /// Mean time between changes of one operator.
+    /// Mean interval between independent changes of an operator.
     pub change_interval: Duration,
-    /// No operator begins a change after this time.
+    /// Time after which operators begin no further changes.
     pub changes_end: Timestamp,
-    /// Races so far.
+    /// Number of rounds of concurrent changes.
     pub races: u64,
-    /// The network.
+    /// Network between the endpoints.
     pub network: Network,
-    /// What was seen.
+    /// Observations for the checks.
     pub history: History,
-    /// What happened, in order.
+    /// Event trace.
     pub trace: Trace,
-    /// Source of all random choices.
+    /// Random number generator of the world.
     pub random: Pcg64,
-    /// A rule that is switched off.
+    /// Rule that is disabled, if any.
     pub mutant: Option<Mutant>,
-    /// Commands as first applied by any machine.
+    /// Entries as first applied by any machine.
     pub applied: BTreeMap<LogIndex, Entry>,
-    /// Settings of the cores.
+    /// Settings of the consensus nodes.
     pub settings: ConsensusSettings,
 }
 
@@ -143,7 +143,7 @@
         schedule.after(2 * RACE_INTERVAL, Event::RaceLookup);
     }
 
-    /// The states of the machines that run, for the checks.
+    /// Records the states of running machines for the checks.
     pub fn record_final_states(&mut self) {
         let processes = self.machines.iter().filter_map(|machine| machine.process.as_ref());
         self.history.final_states = processes.map(|process| final_state(&process.state)).collect();
