--- a/crates/simulation/src/serving/broker.rs
+++ b/crates/simulation/src/serving/broker.rs
@@ -1,4 +1,4 @@
-//! A broker in simulation: its dispatcher and the mutant that may sit before it.
+//! Simulated broker: its dispatcher, and the mutants that alter its input and output.
 
 use gingerkeel_domain::admission::RefusalReason;
 use gingerkeel_domain::dispatch::{Dispatcher, DispatcherSettings, Effect, Event, LeafCompletion};
@@ -12,25 +12,25 @@
 
 use super::fault::Mutant;
 
-/// Number of a broker in a run.
+/// Index of a broker in the simulated world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BrokerIndex(pub usize);
 
-/// One broker.
+/// A simulated broker process.
 pub struct BrokerModel {
-    /// Its dispatcher.
+    /// Dispatcher under test.
     pub dispatcher: Dispatcher,
-    /// It is killed or has stopped.
+    /// Whether the process has been killed or has stopped.
     pub dead: bool,
-    /// The earliest timer that is scheduled.
+    /// Time of the earliest scheduled timer event.
     pub armed: Option<Timestamp>,
-    /// Number of its next query.
+    /// Identifier of the next query.
     pub next_query: u64,
     mutant: Option<Mutant>,
 }
 
 impl BrokerModel {
-    /// A broker whose choices follow from `seed`; `run` is its own.
+    /// Creates a broker whose dispatcher draws random numbers from `seed`.
     pub fn new(seed: u64, run: BrokerRun, mutant: Option<Mutant>) -> Self {
         let settings = DispatcherSettings { run, ..DispatcherSettings::default() };
         Self {
@@ -42,28 +42,28 @@
         }
     }
 
-    /// Handles an event, as the mutant lets it through.
+    /// Handles an event, with the changes of the mutant to the event and its effects.
     pub fn handle(&mut self, now: Timestamp, event: Event, effects: &mut Vec<Effect>) {
-        let event = self.bend_event(event);
+        let event = self.alter_event(event);
         let first = effects.len();
         self.dispatcher.handle(now, event, effects);
         for effect in &mut effects[first..] {
-            self.bend_effect(effect);
+            self.alter_effect(effect);
         }
     }
 
-    fn bend_event(&self, event: Event) -> Event {
+    fn alter_event(&self, event: Event) -> Event {
         match (self.mutant, event) {
             (Some(Mutant::EveryQueryRepeatable), Event::Submitted(mut submission)) => {
                 submission.repeatable = true;
                 Event::Submitted(submission)
             }
             (Some(mutant), Event::LeafCompleted { leaf, request, completion, draining }) => {
-                let (request, completion) = self.bend_completion(mutant, request, completion);
+                let (request, completion) = self.alter_completion(mutant, request, completion);
                 let draining = draining.filter(|_| mutant != Mutant::NoDrainMarks);
                 Event::LeafCompleted { leaf, request, completion, draining }
             }
-            // No mark ever comes, nor the silence that would make up for it.
+            // Without this, a probe response would still report the drain.
             (Some(Mutant::NoDrainMarks), Event::ProbeAnswered { leaf, .. }) => {
                 Event::ProbeAnswered { leaf, draining: false }
             }
@@ -71,7 +71,7 @@
         }
     }
 
-    fn bend_completion(
+    fn alter_completion(
         &self,
         mutant: Mutant,
         request: LeafRequestId,
@@ -85,7 +85,7 @@
                 Mutant::EveryReplyOfSnapshot,
                 LeafCompletion::Replied(LeafReply::Result { body, .. }),
             ) => {
-                let snapshot = snapshot_asked(&body);
+                let snapshot = requested_snapshot(&body);
                 (request, LeafCompletion::Replied(LeafReply::Result { snapshot, body }))
             }
             (Mutant::RepliesOfOthers, completion) => {
@@ -96,7 +96,7 @@
         }
     }
 
-    fn bend_effect(&self, effect: &mut Effect) {
+    fn alter_effect(&self, effect: &mut Effect) {
         let Effect::Answer { outcome, .. } = effect else {
             return;
         };
@@ -116,8 +116,8 @@
     }
 }
 
-/// The snapshot that was asked for, which the stand-in leaf names last in its body.
-fn snapshot_asked(body: &[u8]) -> Snapshot {
+/// Extracts the requested snapshot from the end of a simulated leaf's response body.
+fn requested_snapshot(body: &[u8]) -> Snapshot {
     let text = String::from_utf8_lossy(body);
     let asked = text.rsplit('=').next().unwrap_or_default();
     let (epoch, version) = asked.split_once('.').unwrap_or(("0", "0"));
--- a/crates/simulation/src/serving/caller.rs
+++ b/crates/simulation/src/serving/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: an open loop of queries of several classes.
+//! Open-loop load of queries in several classes.
 
 use std::time::Duration;
 
@@ -7,32 +7,33 @@
 use rand::Rng;
 use rand_pcg::Pcg64;
 
-/// Account of the callers.
+/// Caller name of all queries.
 pub const CALLER: &str = "caller";
 
 /// Price of the highest class.
 pub const HIGHEST_PRICE: u64 = 5;
 
-/// Queries of one class.
+/// Load of one class.
 #[derive(Debug, Clone)]
 pub struct ClassLoad {
-    /// How the class is defined.
+    /// Definition of the class.
     pub policy: ClassPolicy,
     /// Queries per second over all brokers.
     pub rate: f64,
-    /// Share that is not repeatable.
+    /// Fraction of queries that are not repeatable.
     pub not_repeatable: f64,
 }
 
 impl ClassLoad {
-    /// Time until the next query of the class.
+    /// Exponentially distributed time until the next query.
     pub fn next_interval(&self, random: &mut Pcg64) -> Duration {
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
         Duration::from_secs_f64(-uniform.ln() / self.rate)
     }
 }
 
-/// The classes of the rehearsed service: urgent, standard and archive.
+/// The classes of the simulated service: urgent, standard and archive. `rate` is their total rate
+/// in queries per second.
 pub fn classes(rate: f64) -> Vec<ClassLoad> {
     let partial = AnswerPolicy::Partial { soft_deadline: Duration::from_millis(110) };
     vec![
--- a/crates/simulation/src/serving/check.rs
+++ b/crates/simulation/src/serving/check.rs
@@ -1,4 +1,5 @@
-//! Checks of a history against the promises of the tier, apart from the code that keeps them.
+//! Checks of a history against the guarantees of the serving tier, independent of the code under
+//! test.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,55 +14,55 @@
 use super::history::{GlobalQuery, History, QueryRecord};
 use super::world::decided_on_entry;
 
-/// Time after a drain order in which new work may still reach the leaf.
+/// Time limit after a drain order for requests that still reach the leaf.
 const DRAIN_BOUND: Duration = Duration::from_secs(3);
-/// Slack of the clock for an outcome that is due.
+/// Tolerance for late outcomes.
 const OUTCOME_SLACK: Duration = Duration::from_millis(2);
-/// By how much the refused share of a class may exceed that of a lower class.
+/// Maximum excess of the refusal rate of a class over that of a lower class.
 const PRIORITY_SLACK: f64 = 0.05;
-/// Queries of a class from which on its refused share is judged.
+/// Minimum number of queries of a class for a check of its refusal rate.
 const PRIORITY_SAMPLE: usize = 50;
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// Parts of an answer are of different snapshots, or not of the answer's.
+    /// A part of an answer was read from another snapshot than that of the answer.
     MixedSnapshot(GlobalQuery),
     /// A part of an answer belongs to another query or shard.
     ForeignPart(GlobalQuery),
     /// The coverage of an answer does not match its shards.
     FalseCoverage(GlobalQuery),
-    /// Something of a query that was said to be not run was run.
+    /// A leaf executed a request of a query that was reported as not run.
     NotRunWasRun(GlobalQuery),
-    /// A not-repeatable query was run more than once on a shard.
+    /// A query that is not repeatable was executed more than once on a shard.
     RanTwice(GlobalQuery, ShardId),
-    /// Work reached a leaf too long after it was told to leave.
+    /// A request reached a leaf too long after its drain order.
     WorkForLeaving(LeafId),
-    /// A query got no outcome.
+    /// A query has no outcome.
     NoOutcome(GlobalQuery),
-    /// A query got more than one outcome.
+    /// A query has more than one outcome.
     SeveralOutcomes(GlobalQuery),
-    /// An outcome came after the deadline.
+    /// An outcome arrived after the deadline.
     LateOutcome(GlobalQuery),
-    /// A refusal that was decided on entry came later.
+    /// A refusal at admission was delayed.
     HeldBack(GlobalQuery),
-    /// A refusal does not say when to come back.
+    /// A refusal has no retry delay.
     NoRetryAfter(GlobalQuery),
-    /// A planned stop cut a query that was in flight.
+    /// A graceful shutdown aborted a query in flight.
     CutByStop(GlobalQuery),
-    /// A class was refused more than a lower one.
+    /// A class was refused more often than a lower class.
     LowerClassFirst(u8),
-    /// Requests under one key got different answers.
+    /// Answers to requests with the same request key differ.
     AnswersDiffer(GlobalQuery),
-    /// A broker's charges are not the prices of its answers.
+    /// The charges of a broker differ from the prices of its answers.
     FalseCharge(BrokerIndex),
-    /// A caller was answered for more than its budget.
+    /// A broker answered more queries than the caller's budget allows.
     OverBudget(BrokerIndex),
-    /// Something of a class that is shut out was run.
+    /// A leaf executed a request of a class below the admission threshold.
     BelowThreshold(GlobalQuery),
 }
 
-/// All broken promises of a history.
+/// Returns all violations in a history.
 pub fn check(history: &History) -> Vec<Violation> {
     let runs = runs_by_query(history);
     let mut violations = Vec::new();
@@ -184,8 +185,8 @@
     }
 }
 
-/// Parts and missing shards are together the shards of the partition map, each once, and a shard
-/// that is missing as not run was not run.
+/// Whether the parts and missing shards of an answer contain each shard of the partition map
+/// exactly once, and no shard reported as not run was executed.
 fn coverage_is_true(history: &History, answer: &Answer, runs: &ShardRuns) -> bool {
     let parts = answer.parts.iter().map(|part| part.shard);
     let missing = answer.missing.iter().map(|missing| missing.shard);
@@ -247,7 +248,7 @@
     for record in history.queries.values() {
         let class = classes.entry(record.priority).or_default();
         class.submitted += 1;
-        // A caller's own spent budget says nothing about the order of classes.
+        // Refusals due to an exhausted budget do not depend on the class.
         let refused = |(_, outcome): &(Timestamp, QueryOutcome)| match outcome {
             QueryOutcome::NotRun { reason, .. } => *reason != RefusalReason::BudgetSpent,
             _ => false,
--- a/crates/simulation/src/serving/check_accounts.rs
+++ b/crates/simulation/src/serving/check_accounts.rs
@@ -1,4 +1,4 @@
-//! Checks of request keys, budgets, charges and the threshold.
+//! Checks of request keys, budgets, charges and the admission threshold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,10 +12,10 @@
 use super::check::Violation;
 use super::history::{BudgetRecord, ChargeRecord, GlobalQuery, History, QueryRecord};
 
-/// Queries that were sent under one key, the first one included.
+/// Queries with the same request key.
 type KeyGroup<'history> = Vec<(GlobalQuery, &'history QueryRecord)>;
 
-/// Checks what callers paid and what became of their keys.
+/// Adds violations of request keys, charges, budgets and the admission threshold.
 pub fn check_accounts(history: &History, violations: &mut Vec<Violation>) {
     for group in key_groups(history).values() {
         check_key(history, group, violations);
@@ -25,7 +25,8 @@
     check_threshold(history, violations);
 }
 
-/// Queries whose leaf requests may make up the answer to `query`: those of its key.
+/// Queries whose leaf requests may contribute to the answer to `query`: all with the same request
+/// key.
 pub fn owners(history: &History, query: GlobalQuery) -> Vec<GlobalQuery> {
     let key = key_of(&history.queries[&query]);
     if key.is_none() {
@@ -49,8 +50,8 @@
     groups
 }
 
-/// Over all requests under a key a shard is run at most once, all answers are the same, and
-/// "not run" is said only before anything ran.
+/// Over all requests with a key, each shard is executed at most once, all answers are equal, and
+/// "not run" is reported only before any execution.
 fn check_key(history: &History, group: &KeyGroup<'_>, violations: &mut Vec<Violation>) {
     let queries: BTreeSet<GlobalQuery> = group.iter().map(|(query, _)| *query).collect();
     let belongs = |broker, query| queries.contains(&GlobalQuery { broker, query });
@@ -80,7 +81,7 @@
     }
 }
 
-/// A broker's totals are the prices of the answers it gave, each key counted once.
+/// The charges of a broker are the prices of its answers, with each request key charged once.
 fn check_charges(history: &History, violations: &mut Vec<Violation>) {
     for charge in &history.charges {
         if *charge != expected_charge(history, charge) {
@@ -107,8 +108,8 @@
     expected
 }
 
-/// What each broker answered since the budget was cut is within the burst, the rate and what was
-/// given back of queries that had been paid before; each key is paid for once.
+/// The prices of a broker's answers since the budget cut are within the burst, the rate and the
+/// refunds for earlier queries. Each request key is charged once.
 fn check_budget(history: &History, violations: &mut Vec<Violation>) {
     let Some(budget) = &history.budget else {
         return;
@@ -132,15 +133,15 @@
         let earned = seconds * budget.account.budget_per_second as f64;
         let at_once = allowed
             .entry(query.broker)
-            .or_insert_with(|| budget.account.burst + given_back(history, budget, query.broker));
+            .or_insert_with(|| budget.account.burst + max_refunds(history, budget, query.broker));
         if *total as f64 > *at_once as f64 + earned {
             violations.push(Violation::OverBudget(query.broker));
         }
     }
 }
 
-/// Upper bound of what a broker gave back, after the budget was cut, for earlier queries.
-fn given_back(history: &History, budget: &BudgetRecord, broker: BrokerIndex) -> u64 {
+/// Upper bound of a broker's refunds after the budget cut for earlier queries.
+fn max_refunds(history: &History, budget: &BudgetRecord, broker: BrokerIndex) -> u64 {
     let unanswered = |record: &QueryRecord| match record.outcomes.first() {
         Some((arrived, outcome)) => {
             *arrived >= budget.ordered && !matches!(outcome, QueryOutcome::Answered(_))
@@ -153,8 +154,8 @@
     earlier.count() as u64 * HIGHEST_PRICE
 }
 
-/// Nothing of a class below the threshold is run once the threshold is in force, and what a
-/// broker gave up for a higher class was not of the highest.
+/// No query of a class below the threshold is executed after the threshold has taken effect, and no
+/// query of the highest class is evicted.
 fn check_threshold(history: &History, violations: &mut Vec<Violation>) {
     let ran: BTreeSet<GlobalQuery> = history
         .runs
--- a/crates/simulation/src/serving/fault.rs
+++ b/crates/simulation/src/serving/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a run meets, and mutants that switch a rule of the code off.
+//! Injected faults, and mutants that disable a rule of the code under test.
 
 use std::time::Duration;
 
@@ -6,98 +6,99 @@
 
 use super::broker::BrokerIndex;
 
-/// One fault.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The leaf takes `factor` times as long from now on.
+    /// Multiplies the service times of the leaf by `factor`.
     Slow {
         /// The leaf.
         leaf: LeafId,
-        /// Factor on its service times; 1 heals.
+        /// Factor on service times; 1 ends the fault.
         factor: f64,
     },
-    /// The leaf's process is killed: what it has is lost, connections break.
+    /// Kills the leaf process. Its requests are lost and its connections close.
     Kill(LeafId),
-    /// The leaf starts again, cold.
+    /// Restarts the leaf, which is cold at first.
     Restart(LeafId),
-    /// The leaf answers nothing until it is thawed.
+    /// Pauses the leaf.
     Freeze(LeafId),
-    /// The leaf goes on.
+    /// Resumes the leaf.
     Thaw(LeafId),
-    /// Nothing passes between a broker and a leaf, and neither is told.
+    /// Silently drops all messages between the broker and the leaf.
     Cut(BrokerIndex, LeafId),
-    /// The cut is healed; what was sent meanwhile is lost.
+    /// Ends the partition between the broker and the leaf. Messages sent before are lost.
     Heal(BrokerIndex, LeafId),
-    /// Replies of the leaf come this much later, so that they overtake each other.
+    /// Adds random delays to the replies of the leaf, which reorders them.
     LateReplies {
         /// The leaf.
         leaf: LeafId,
-        /// Most that is added to a reply's delay.
+        /// Maximum additional delay.
         spread: Duration,
     },
-    /// Replies of the leaf come twice.
+    /// Duplicates the replies of the leaf.
     DuplicateReplies(LeafId),
-    /// The leaf answers with a version that was not asked for.
+    /// Makes the leaf reply from another index version than the requested one.
     WrongVersion(LeafId),
-    /// The leaf fails requests at once, which makes it look fast and idle.
+    /// Makes the leaf fail all requests immediately, so that its latency and load are low.
     FailFast(LeafId),
-    /// An operator publishes the next index version; leaves move on to it, one after the other,
-    /// and drop the oldest one that they hold.
+    /// Publishes the next index version. The leaves load it one after the other and drop their
+    /// oldest version.
     PublishNext,
-    /// An operator starts a partition map of this many shards and publishes it.
+    /// Creates a partition map with this number of shards and publishes it.
     Repartition(u32),
-    /// An operator drains the leaf.
+    /// Drains the leaf by an operator command.
     DrainByOperator(LeafId),
-    /// The leaf itself starts to leave and marks its replies.
+    /// Makes the leaf drain by itself and mark its replies.
     DrainByLeaf(LeafId),
-    /// The broker is told to stop.
+    /// Starts a graceful shutdown of the broker.
     StopBroker(BrokerIndex),
-    /// The broker is killed; its callers see a broken connection.
+    /// Kills the broker. The connections of its callers close.
     KillBroker(BrokerIndex),
-    /// Callers send not-repeatable queries under keys from now on, and send them again.
+    /// Makes callers send queries that are not repeatable with request keys, and retry them.
     ResendUnderKeys,
-    /// The callers' account is cut to this rate per second at each broker.
+    /// Reduces the budget of the callers to this rate per second at each broker.
     CutBudget(u64),
-    /// The queue of each class may hold this many queries from now on.
+    /// Sets the queue limit of each class.
     ShortenQueues(u32),
-    /// The brokers admit no class lower than this one from now on.
+    /// Sets the lowest class that brokers admit.
     SetThreshold(u8),
-    /// The leaf does not hold the published version of the shard any more.
+    /// Removes the published index version of the shard from the leaf.
     LoseVersion(LeafId, ShardId),
 }
 
-/// A fault and when it comes.
+/// A fault with its time.
 pub type TimedFault = crate::fault_plan::TimedFault<Fault>;
 
-/// A rule of the code that is switched off by keeping from it what it needs to know.
+/// A rule that the simulation disables by altering the input or output of the dispatcher, to show
+/// that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// The dispatcher is told that every query is repeatable.
+    /// All queries are submitted as repeatable.
     EveryQueryRepeatable,
-    /// The dispatcher is told that every reply is of the snapshot that was asked for.
+    /// All replies are attributed to the requested snapshot.
     EveryReplyOfSnapshot,
-    /// The dispatcher is told of no drain.
+    /// The dispatcher is not notified of drains.
     NoDrainMarks,
-    /// The dispatcher is told that a broken request was never written.
+    /// Failed requests are reported as never sent.
     BrokenMeansNotSent,
-    /// Replies are handed to the query after the one that they belong to.
+    /// Replies are passed to the query after the one to which they belong.
     RepliesOfOthers,
-    /// An unknown outcome is said to be "not run".
+    /// Unknown outcomes are reported as "not run".
     UnknownSaidNotRun,
-    /// Missing shards are left out of answers.
+    /// Missing shards are omitted from answers.
     MissingShardsHidden,
-    /// Missing shards that may have run are said to be "not run".
+    /// Missing shards with unknown outcomes are reported as "not run".
     UnknownShardsSaidNotRun,
-    /// A planned stop ends the broker at once.
+    /// A graceful shutdown stops the broker immediately.
     StopCutsInFlight,
-    /// Refusals are kept until the deadline.
+    /// Refusals are delayed until the deadline.
     RefusalsHeldBack,
-    /// All classes are queued as one.
+    /// All queries are submitted in the same class.
     ClassesIgnored,
-    /// The dispatcher is told of no request key.
+    /// The dispatcher does not receive request keys.
     KeysIgnored,
-    /// The dispatcher is told of no cut budget.
+    /// The dispatcher is not notified of a reduced budget.
     BudgetUnheard,
-    /// The dispatcher is told of no threshold.
+    /// The dispatcher is not notified of the admission threshold.
     ThresholdUnheard,
 }
--- a/crates/simulation/src/serving/faults.rs
+++ b/crates/simulation/src/serving/faults.rs
@@ -1,4 +1,4 @@
-//! How faults change the world.
+//! Fault injection.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use super::world::{Event, SERVICE, ServingWorld, assignments};
 use crate::virtual_clock::Schedule;
 
-/// Within this time all leaves load a newly built index version.
+/// Time within which all leaves load a new index version.
 const LOAD_SPREAD: Duration = Duration::from_millis(300);
-/// Time after the first leaf loads a version until the operator publishes it.
+/// Time from the start of loading a version until its publication.
 const PUBLISH_DELAY: Duration = Duration::from_millis(200);
 
 impl ServingWorld {
@@ -51,7 +51,7 @@
     pub(super) fn leaf_fault(&mut self, now: Timestamp, fault: Fault) {
         let service = ServiceName::new(SERVICE);
         let published = self.catalog.services()[&service].published();
-        let leaf_of =
+        let with_leaf =
             |leaves: &mut BTreeMap<LeafId, LeafModel>, id, change: &dyn Fn(&mut LeafModel)| {
                 if let Some(leaf) = leaves.get_mut(&id) {
                     change(leaf);
@@ -60,26 +60,26 @@
         let leaves = &mut self.leaves;
         match fault {
             Fault::Slow { leaf, factor } => {
-                leaf_of(leaves, leaf, &|leaf| leaf.slow_factor = factor)
+                with_leaf(leaves, leaf, &|leaf| leaf.slow_factor = factor)
             }
-            Fault::Restart(leaf) => leaf_of(leaves, leaf, &|leaf| leaf.restart()),
-            Fault::Freeze(leaf) => leaf_of(leaves, leaf, &|leaf| leaf.frozen = Some(Vec::new())),
+            Fault::Restart(leaf) => with_leaf(leaves, leaf, &|leaf| leaf.restart()),
+            Fault::Freeze(leaf) => with_leaf(leaves, leaf, &|leaf| leaf.frozen = Some(Vec::new())),
             Fault::LateReplies { leaf, spread } => {
-                leaf_of(leaves, leaf, &|leaf| leaf.reply_spread = spread)
+                with_leaf(leaves, leaf, &|leaf| leaf.reply_spread = spread)
             }
             Fault::DuplicateReplies(leaf) => {
-                leaf_of(leaves, leaf, &|leaf| leaf.duplicate_replies = true)
+                with_leaf(leaves, leaf, &|leaf| leaf.duplicate_replies = true)
             }
-            Fault::WrongVersion(leaf) => leaf_of(leaves, leaf, &|leaf| leaf.wrong_version = true),
-            Fault::FailFast(leaf) => leaf_of(leaves, leaf, &|leaf| leaf.fail_fast = true),
-            Fault::LoseVersion(leaf, _) => leaf_of(leaves, leaf, &|leaf| {
+            Fault::WrongVersion(leaf) => with_leaf(leaves, leaf, &|leaf| leaf.wrong_version = true),
+            Fault::FailFast(leaf) => with_leaf(leaves, leaf, &|leaf| leaf.fail_fast = true),
+            Fault::LoseVersion(leaf, _) => with_leaf(leaves, leaf, &|leaf| {
                 if let Some(published) = published {
                     leaf.lose(published);
                 }
             }),
             Fault::DrainByLeaf(leaf) => {
                 self.history.drains.push(DrainRecord { leaf, ordered: now });
-                leaf_of(leaves, leaf, &|leaf| leaf.draining = true);
+                with_leaf(leaves, leaf, &|leaf| leaf.draining = true);
             }
             _ => unreachable!("{fault:?} is not a fault of one leaf"),
         }
--- a/crates/simulation/src/serving/history.rs
+++ b/crates/simulation/src/serving/history.rs
@@ -1,4 +1,4 @@
-//! What callers and leaves saw: the ground truth that checks are made against.
+//! Observations of callers and leaves, which the checks take as the ground truth.
 
 use std::collections::BTreeMap;
 
@@ -11,127 +11,128 @@
 
 use super::broker::BrokerIndex;
 
-/// Number of a query over all brokers.
+/// Identifier of a query, unique over all brokers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GlobalQuery {
-    /// The broker that took it.
+    /// Broker that received the query.
     pub broker: BrokerIndex,
-    /// Its number at that broker.
+    /// Identifier of the query at that broker.
     pub query: QueryId,
 }
 
-/// One query as its caller saw it.
+/// A query as observed by its caller.
 #[derive(Debug, Clone)]
 pub struct QueryRecord {
-    /// What was submitted; not repeatable means what the caller meant, whatever a mutant makes of it.
+    /// Submission of the caller, before any change by a mutant.
     pub submission: Submission,
-    /// Priority of its class.
+    /// Priority of the class; 0 is the highest.
     pub priority: u8,
-    /// When it was submitted.
+    /// Submission time.
     pub submitted: Timestamp,
-    /// Outcomes with the time at which each arrived; more than one is a fault.
+    /// Each outcome with the time of its arrival. More than one is a violation.
     pub outcomes: Vec<(Timestamp, QueryOutcome)>,
-    /// Its broker was killed while it was in flight, so no outcome is owed.
+    /// Whether no outcome is required, since the broker was killed or the caller disconnected while
+    /// the query was in flight.
     pub excused: bool,
 }
 
-/// One request that a leaf ran.
+/// A request executed by a leaf.
 #[derive(Debug, Clone, Copy)]
 pub struct LeafRun {
     /// The leaf.
     pub leaf: LeafId,
-    /// The broker that sent it.
+    /// Broker that sent the request.
     pub broker: BrokerIndex,
-    /// The request.
+    /// Identifier of the request.
     pub request: LeafRequestId,
-    /// The snapshot that was read.
+    /// Snapshot that was read.
     pub snapshot: Snapshot,
-    /// When it started.
+    /// Start of the execution.
     pub started: Timestamp,
 }
 
-/// One request that reached a leaf, whatever the leaf made of it.
+/// A request that reached a leaf, executed or not.
 #[derive(Debug, Clone, Copy)]
 pub struct LeafArrival {
     /// The leaf.
     pub leaf: LeafId,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Timestamp,
 }
 
-/// A leaf that was told to leave.
+/// A leaf with a drain order.
 #[derive(Debug, Clone, Copy)]
 pub struct DrainRecord {
     /// The leaf.
     pub leaf: LeafId,
-    /// When it was told.
+    /// Time of the drain order.
     pub ordered: Timestamp,
 }
 
-/// A broker that was told to stop.
+/// A broker with a graceful shutdown.
 #[derive(Debug, Clone, Copy)]
 pub struct StopRecord {
     /// The broker.
     pub broker: BrokerIndex,
-    /// When it was told.
+    /// Time of the shutdown request.
     pub requested: Timestamp,
 }
 
-/// A budget that was cut.
+/// A reduced budget.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetRecord {
-    /// The account since then.
+    /// Account with the reduced budget.
     pub account: CallerAccount,
-    /// When it was ordered.
+    /// Time of the change.
     pub ordered: Timestamp,
-    /// When every broker knows it.
+    /// Time from which it is in force at every broker.
     pub in_force: Timestamp,
 }
 
-/// A threshold that was set.
+/// An admission threshold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ThresholdRecord {
     /// Priority of the lowest class admitted.
     pub lowest_admitted: u8,
-    /// When every broker knows it.
+    /// Time from which it is in force at every broker.
     pub in_force: Timestamp,
 }
 
-/// What one broker had charged at the end of a run.
+/// Total charges of a broker at the end of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChargeRecord {
     /// The broker.
     pub broker: BrokerIndex,
-    /// Answered queries that it counted.
+    /// Number of charged queries.
     pub answered: u64,
-    /// Their prices together.
+    /// Sum of their prices.
     pub units: u64,
 }
 
-/// All that callers and leaves saw in one run.
+/// Observations of callers and leaves in a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// Queries by number.
+    /// Queries by identifier.
     pub queries: BTreeMap<GlobalQuery, QueryRecord>,
-    /// Requests that leaves ran, in order of time.
+    /// Executed requests, ordered by time.
     pub runs: Vec<LeafRun>,
-    /// Requests that reached leaves, in order of time.
+    /// Requests that reached leaves, ordered by time.
     pub arrivals: Vec<LeafArrival>,
-    /// Leaves that were told to leave and not taken back.
+    /// Drain orders.
     pub drains: Vec<DrainRecord>,
-    /// Brokers that were told to stop.
+    /// Graceful shutdowns of brokers.
     pub stops: Vec<StopRecord>,
-    /// The budget, if it was cut.
+    /// The reduced budget, if any.
     pub budget: Option<BudgetRecord>,
-    /// The threshold, if one was set.
+    /// The admission threshold, if any.
     pub threshold: Option<ThresholdRecord>,
-    /// What brokers had charged at the end.
+    /// Charges of all brokers at the end.
     pub charges: Vec<ChargeRecord>,
-    /// Shards of every partition map that was ever in force.
+    /// Shards of all partition maps by epoch.
     pub shards: BTreeMap<PartitionEpoch, Vec<ShardId>>,
 }
 
-/// The body that a leaf replies with: whose it is, what was read, and what was asked for.
+/// Response body of a simulated leaf: broker, query, shard, snapshot read and snapshot requested.
 pub fn leaf_body(query: GlobalQuery, shard: ShardId, read: Snapshot, asked: Snapshot) -> String {
     format!("{}/{}/{shard}/{read}={asked}", query.broker.0, query.query)
 }
--- a/crates/simulation/src/serving/leaf.rs
+++ b/crates/simulation/src/serving/leaf.rs
@@ -1,4 +1,5 @@
-//! A leaf in simulation: slots, a short queue, versions, drain, deadlines and cancellation.
+//! Simulated leaf with execution slots, a bounded queue, index versions, draining, deadlines and
+//! cancellation.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,65 +13,65 @@
 
 use super::broker::BrokerIndex;
 
-/// Requests that wait for a slot before a leaf sheds.
+/// Queue length at which a leaf sheds load.
 const QUEUE_LIMIT: usize = 20;
 /// Median service time.
 const MEDIAN_SERVICE: Duration = Duration::from_millis(4);
-/// Spread of the logarithm of service times.
+/// Standard deviation of the logarithm of service times.
 const SERVICE_SIGMA: f64 = 0.6;
-/// Share of requests that are stragglers.
+/// Fraction of requests that are stragglers.
 const STRAGGLER_SHARE: f64 = 0.01;
-/// How much longer a straggler takes.
+/// Factor on the service time of a straggler.
 const STRAGGLER_FACTOR: f64 = 12.0;
-/// Snapshots that a leaf holds.
+/// Number of snapshots that a leaf retains.
 const RETAINED_SNAPSHOTS: usize = 2;
-/// Requests during which a restarted leaf is cold.
+/// Number of requests after a restart for which a leaf is cold.
 const COLD_REQUESTS: u32 = 40;
-/// How much longer a cold leaf takes.
+/// Factor on the service time of a cold leaf.
 const COLD_FACTOR: f64 = 4.0;
 
-/// A request as it reaches a leaf.
+/// A request received by a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeafRequest {
-    /// The broker that sent it.
+    /// Broker that sent the request.
     pub broker: BrokerIndex,
-    /// The request.
+    /// Identifier of the request.
     pub request: LeafRequestId,
-    /// The snapshot that it reads.
+    /// Requested snapshot.
     pub snapshot: Snapshot,
-    /// Moment after which it is not to be started.
+    /// Deadline, after which the request must not be started.
     pub deadline: Timestamp,
 }
 
-/// What a leaf does on an event.
+/// Action of a leaf on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeafAction {
-    /// It starts the request and will have finished after this time.
+    /// Start the request, which finishes after this time.
     Run(LeafRequest, Duration),
-    /// It refuses the request.
+    /// Refuse the request.
     Refuse(LeafRequest, NotRunReason),
 }
 
-/// One leaf.
+/// A simulated leaf process.
 #[derive(Debug)]
 pub struct LeafModel {
     /// Factor on service times.
     pub slow_factor: f64,
-    /// It is killed.
+    /// Whether the process has been killed.
     pub dead: bool,
-    /// It is stopped by a signal; arrivals wait here.
+    /// Requests received while the process is paused, or `None` if it is not paused.
     pub frozen: Option<Vec<LeafRequest>>,
-    /// It marks its replies and takes no new work.
+    /// Whether the leaf is draining: it marks its replies and refuses new requests.
     pub draining: bool,
-    /// It fails requests at once.
+    /// Whether the leaf fails all requests immediately.
     pub fail_fast: bool,
-    /// It answers with another version.
+    /// Whether the leaf replies from another index version than the requested one.
     pub wrong_version: bool,
-    /// It answers twice.
+    /// Whether the leaf sends each reply twice.
     pub duplicate_replies: bool,
-    /// Most that is added to a reply's delay.
+    /// Maximum additional delay of replies.
     pub reply_spread: Duration,
-    /// Counts its starts, so that what an earlier run had is known as lost.
+    /// Incremented at each kill, to discard events of earlier processes.
     pub run: u32,
     slots: usize,
     running: BTreeSet<(BrokerIndex, LeafRequestId)>,
@@ -80,7 +81,7 @@
 }
 
 impl LeafModel {
-    /// A warm leaf that holds `snapshot`.
+    /// Creates a warm leaf with `snapshot`.
     pub fn new(slots: usize, snapshot: Snapshot) -> Self {
         Self {
             slow_factor: 1.0,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Loads a snapshot and drops the oldest beyond those that it keeps.
+    /// Loads a snapshot and drops the oldest ones beyond the retention limit.
     pub fn load(&mut self, snapshot: Snapshot) {
         self.held.insert(snapshot, ());
         while self.held.len() > RETAINED_SNAPSHOTS {
@@ -113,7 +114,7 @@
         self.held.remove(&snapshot);
     }
 
-    /// Dies: what ran and waited is given back as lost.
+    /// Kills the process and returns the lost requests.
     pub fn kill(&mut self) -> Vec<(BrokerIndex, LeafRequestId)> {
         self.dead = true;
         self.run += 1;
@@ -125,14 +126,14 @@
         lost
     }
 
-    /// Starts again, cold.
+    /// Restarts the process, which is cold at first.
     pub fn restart(&mut self) {
         self.dead = false;
         self.draining = false;
         self.cold_left = COLD_REQUESTS;
     }
 
-    /// A request arrives.
+    /// Starts, queues or refuses a request. Returns `None` if it is queued.
     pub fn arrive(
         &mut self,
         now: Timestamp,
@@ -155,12 +156,12 @@
         None
     }
 
-    /// A request that ran has finished; false when the leaf does not have it any more.
+    /// Ends a running request. Returns false if the leaf no longer runs it.
     pub fn finish(&mut self, broker: BrokerIndex, request: LeafRequestId) -> bool {
         self.running.remove(&(broker, request))
     }
 
-    /// Starts what waits, while there are slots.
+    /// Starts queued requests while slots are free.
     pub fn start_waiting(&mut self, now: Timestamp, random: &mut Pcg64) -> Vec<LeafAction> {
         let mut actions = Vec::new();
         while self.running.len() < self.slots {
@@ -172,7 +173,7 @@
         actions
     }
 
-    /// A request is cancelled: it leaves the queue, or its slot becomes free.
+    /// Cancels a queued or running request.
     pub fn cancel(&mut self, broker: BrokerIndex, request: LeafRequestId) {
         self.running.remove(&(broker, request));
         self.waiting.retain(|waiting| (waiting.broker, waiting.request) != (broker, request));
--- a/crates/simulation/src/serving/leaves.rs
+++ b/crates/simulation/src/serving/leaves.rs
@@ -1,4 +1,4 @@
-//! What happens at leaves, and what they send back.
+//! Event handling of simulated leaves.
 
 use std::time::Duration;
 
@@ -143,7 +143,8 @@
         LeafCompletion::Replied(LeafReply::Result { snapshot: read, body: Bytes::from(body) })
     }
 
-    /// Sends news of a request to its broker, marked with what the leaf says of itself.
+    /// Sends the completion of a request to its broker, with the drain mark unless the leaf is
+    /// dead.
     pub(super) fn reply(
         &mut self,
         id: LeafId,
--- a/crates/simulation/src/serving/mod.rs
+++ b/crates/simulation/src/serving/mod.rs
@@ -1,4 +1,4 @@
-//! The serving tier in simulation: brokers' dispatchers, leaves, callers and the network.
+//! Simulation of the serving tier: dispatchers of brokers, leaves, callers and the network.
 
 mod broker;
 mod caller;
--- a/crates/simulation/src/serving/network.rs
+++ b/crates/simulation/src/serving/network.rs
@@ -1,4 +1,4 @@
-//! Delays and cuts between brokers and leaves.
+//! Simulated network between brokers and leaves, with delays and partitions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,30 +9,30 @@
 
 use super::broker::BrokerIndex;
 
-/// Smallest one-way delay between a broker and a leaf.
+/// Minimum one-way delay between a broker and a leaf.
 const MINIMUM_DELAY: Duration = Duration::from_micros(300);
-/// Largest one-way delay between a broker and a leaf of its region.
+/// Maximum one-way delay between a broker and a leaf in its region.
 const MAXIMUM_DELAY: Duration = Duration::from_micros(1500);
 
-/// The network of one run.
+/// Partitions between brokers and leaves.
 #[derive(Debug, Default)]
 pub struct Network {
     cuts: BTreeSet<(BrokerIndex, LeafId)>,
 }
 
 impl Network {
-    /// One-way delay of a message, or none when it is lost.
+    /// One-way delay of a message, or `None` if it is lost.
     pub fn delay(&self, random: &mut Pcg64, broker: BrokerIndex, leaf: LeafId) -> Option<Duration> {
         let delay = random.random_range(MINIMUM_DELAY..MAXIMUM_DELAY);
         (!self.cuts.contains(&(broker, leaf))).then_some(delay)
     }
 
-    /// Loses all messages between the two from now on.
+    /// Drops all messages between the broker and the leaf.
     pub fn cut(&mut self, broker: BrokerIndex, leaf: LeafId) {
         self.cuts.insert((broker, leaf));
     }
 
-    /// Lets messages pass again.
+    /// Ends the partition between the broker and the leaf.
     pub fn heal(&mut self, broker: BrokerIndex, leaf: LeafId) {
         self.cuts.remove(&(broker, leaf));
     }
--- a/crates/simulation/src/serving/operator.rs
+++ b/crates/simulation/src/serving/operator.rs
@@ -1,4 +1,4 @@
-//! What operators and the control tier order that concerns callers.
+//! Changes of budgets, queue limits and the admission threshold, and the record of charges.
 
 use gingerkeel_domain::catalog::{CallerAccount, Change, ClassPolicy};
 use gingerkeel_domain::dispatch::Event as BrokerEvent;
@@ -13,7 +13,7 @@
 use crate::virtual_clock::Schedule;
 
 impl ServingWorld {
-    /// Cuts the callers' account to `rate` per second, with as much as a burst.
+    /// Reduces the callers' budget to `rate` per second, with the same burst.
     pub(super) fn cut_budget(&mut self, now: Timestamp, rate: u64, schedule: &mut Schedule<Event>) {
         let account = CallerAccount { budget_per_second: rate, burst: rate };
         let in_force = now.after(FEED_DELAY);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Gives each class a queue of this length.
+    /// Sets the queue limit of each class.
     pub(super) fn shorten_queues(&mut self, queue_limit: u32, schedule: &mut Schedule<Event>) {
         let policies: Vec<ClassPolicy> =
             self.loads.iter().map(|load| load.policy.clone()).collect();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Tells all brokers the lowest class that they admit.
+    /// Sets the lowest class that brokers admit.
     pub(super) fn set_threshold(
         &mut self,
         now: Timestamp,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Keeps what brokers have charged for the checks.
+    /// Records the charges of all brokers for the checks.
     pub(super) fn record_charges(&mut self) {
         for (index, broker) in self.brokers.iter().enumerate() {
             let counters = broker.dispatcher.charges().counters().values();
--- a/crates/simulation/src/serving/resend.rs
+++ b/crates/simulation/src/serving/resend.rs
@@ -1,4 +1,4 @@
-//! Callers that send a not-repeatable query again under its request key.
+//! Callers that retry queries with request keys.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 use super::world::{Event, ServingWorld};
 use crate::virtual_clock::Schedule;
 
-/// Times that a query is sent again.
-const RESENDS: u32 = 2;
-/// Within this time a query is sent again: while it runs, or after it has ended.
-const RESEND_SPREAD: Duration = Duration::from_millis(400);
-/// Share of callers that hang up before they send again.
-const HANG_UP_SHARE: f64 = 0.3;
-/// Share of resends that go to another broker than the first.
-const ASTRAY_SHARE: f64 = 0.2;
+/// Number of retries of a query.
+const RETRIES: u32 = 2;
+/// Maximum delay of a retry, which may come during or after the execution of the query.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
+/// Fraction of callers that disconnect before the retry.
+const DISCONNECT_SHARE: f64 = 0.3;
+/// Fraction of retries sent to another broker.
+const OTHER_BROKER_SHARE: f64 = 0.2;
 
 impl ServingWorld {
-    /// Gives a query a key and plans its resends.
+    /// Adds a request key to a query and schedules its retries.
     pub(super) fn plan_resends(
         &mut self,
         now: Timestamp,
@@ -41,17 +41,17 @@
         let digest = submission.query.0;
         submission.key = Some(KeyedRequest { key, digest });
         let query = GlobalQuery { broker, query: submission.query };
-        if self.random.random_bool(HANG_UP_SHARE) {
-            let delay = self.random.random_range(Duration::ZERO..RESEND_SPREAD / 4);
+        if self.random.random_bool(DISCONNECT_SHARE) {
+            let delay = self.random.random_range(Duration::ZERO..MAX_RETRY_DELAY / 4);
             schedule.after(delay, Event::CallerHangsUp(query));
         }
-        for _ in 0..RESENDS {
-            let delay = self.random.random_range(Duration::ZERO..RESEND_SPREAD);
+        for _ in 0..RETRIES {
+            let delay = self.random.random_range(Duration::ZERO..MAX_RETRY_DELAY);
             schedule.after(delay, Event::CallerResends(query));
         }
     }
 
-    /// A caller sends a query again, to the broker of the key or astray.
+    /// Retries a query at the broker that issued its key, or at another broker.
     pub(super) fn caller_resends(
         &mut self,
         now: Timestamp,
@@ -61,9 +61,9 @@
         let Some(record) = self.history.queries.get(&first).cloned() else {
             return;
         };
-        let astray = self.random.random_bool(ASTRAY_SHARE);
+        let to_other = self.random.random_bool(OTHER_BROKER_SHARE);
         let other = BrokerIndex((first.broker.0 + 1) % self.brokers.len());
-        let broker = if astray { other } else { first.broker };
+        let broker = if to_other { other } else { first.broker };
         let model = &mut self.brokers[broker.0];
         if model.dead {
             return;
@@ -78,7 +78,7 @@
         self.submit(now, broker, submission, record.priority, schedule);
     }
 
-    /// A caller hangs up; nobody owes it an outcome any more.
+    /// Disconnects the caller of a query, which then requires no outcome.
     pub(super) fn caller_hangs_up(
         &mut self,
         now: Timestamp,
@@ -95,8 +95,8 @@
         self.tell_broker(now, query.broker, BrokerEvent::CallerGone(query.query), schedule);
     }
 
-    /// What the broker is told of a submission, as the mutant lets it through.
-    pub(super) fn bend_key(&self, mut submission: Submission) -> Submission {
+    /// Applies the mutant to the request key of a submission.
+    pub(super) fn alter_key(&self, mut submission: Submission) -> Submission {
         if self.mutant == Some(Mutant::KeysIgnored) {
             submission.key = None;
         }
--- a/crates/simulation/src/serving/scenario.rs
+++ b/crates/simulation/src/serving/scenario.rs
@@ -1,4 +1,4 @@
-//! Named scenarios: a deployment, a load and the faults that it meets.
+//! Scenarios of the serving tier: the deployment, its load and its faults.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -25,26 +25,26 @@
 use crate::trace::Trace;
 use crate::virtual_clock::{ClockError, Schedule, run};
 
-/// Brokers of a run.
+/// Number of brokers.
 const BROKERS: usize = 3;
-/// Shards of the service at the start.
+/// Initial number of shards.
 const SHARDS: u32 = 4;
-/// Replicas of each shard.
+/// Number of replicas of each shard.
 const REPLICAS: u32 = 3;
-/// Requests that a leaf runs at the same time.
+/// Number of concurrent requests at a leaf.
 const SLOTS: u32 = 5;
-/// Queries that one broker runs at the same time.
+/// Number of concurrent queries at a broker.
 const CONCURRENCY: u32 = 12;
-/// Time during which callers come.
+/// Duration of the load.
 const ARRIVALS: Duration = Duration::from_secs(6);
-/// Time after the last caller until everything has an outcome.
+/// Time limit for outcomes after the end of the load.
 const SETTLING: Duration = Duration::from_secs(4);
-/// A budget that no load spends.
+/// Budget that exceeds any load.
 const AMPLE: u64 = 1_000_000_000;
-/// Queries per second at which the tier is about half used.
+/// Load in queries per second at about half of the capacity.
 const HALF_LOAD: f64 = 400.0;
 
-/// A scenario: the faults that a run meets, and its load.
+/// A fault plan with its load.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     /// Load as a multiple of half the capacity.
@@ -52,7 +52,7 @@
     plan: FaultPlan<Fault>,
 }
 
-/// What a run gave.
+/// Result of a run.
 pub type Outcome = crate::outcome::Outcome<History, Violation>;
 
 fn any_leaf(random: &mut Pcg64) -> LeafId {
@@ -173,31 +173,31 @@
         ]
     }
 
-    /// The scenario of this name.
+    /// Finds a scenario by name.
     pub fn named(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|scenario| scenario.name() == name)
     }
 
-    /// Name, as the command line takes it; a pair has both names.
+    /// Scenario name. A pair has the names of both scenarios.
     pub fn name(&self) -> String {
         self.plan.name()
     }
 
-    /// This scenario with the faults of another one too, under the greater load of the two.
+    /// Combines the faults of two scenarios, with the higher load.
     pub fn with(&self, other: &Self) -> Self {
         Self { load: self.load.max(other.load), plan: self.plan.with(&other.plan) }
     }
 
-    /// The faults of a run with this seed.
+    /// Draws the faults for `seed`.
     pub fn faults(&self, seed: u64) -> Vec<TimedFault> {
         self.plan.faults(seed)
     }
 }
 
-/// Runs faults under a load and checks what came of it.
+/// Runs the world with `faults` under `load` and checks its history.
 ///
 /// # Errors
-/// A [`ClockError`] when the code under simulation panics.
+/// Returns a [`ClockError`] if the code under simulation panics.
 pub fn run_scenario(
     seed: u64,
     load: f64,
--- a/crates/simulation/src/serving/world.rs
+++ b/crates/simulation/src/serving/world.rs
@@ -1,4 +1,4 @@
-//! The world of the serving tier: who does what on which event.
+//! Simulated world of the serving tier, and the dispatch of its events.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,70 +24,70 @@
 use crate::trace::Trace;
 use crate::virtual_clock::{Schedule, World};
 
-/// Within this time a change reaches a broker.
+/// Maximum time until a change reaches a broker.
 pub const FEED_DELAY: Duration = Duration::from_millis(50);
 
-/// Name of the rehearsed service.
+/// Name of the simulated service.
 pub const SERVICE: &str = "records";
 
-/// What happens in the world.
+/// Event of the simulated world.
 #[derive(Debug)]
 pub enum Event {
-    /// The next caller of a class comes.
+    /// Arrival of the next query of a class.
     CallerArrives(usize),
-    /// A request reaches a leaf.
+    /// Arrival of a request at a leaf.
     RequestAtLeaf(LeafId, LeafRequest),
-    /// A cancellation reaches a leaf.
+    /// Arrival of a cancellation at a leaf.
     CancelAtLeaf(LeafId, BrokerIndex, LeafRequestId),
-    /// A probe reaches a leaf.
+    /// Arrival of a probe at a leaf.
     ProbeAtLeaf(LeafId, BrokerIndex),
-    /// The mark of a leaf reaches the broker that probed it.
+    /// Arrival of a probe response at a broker, with the drain mark.
     MarkAtBroker(BrokerIndex, LeafId, bool),
-    /// A leaf has finished a request that it started in its run of this number.
+    /// End of a request at a leaf, with the run number of the leaf process.
     RunFinished(LeafId, u32, LeafRequest),
-    /// News of a leaf request reaches its broker.
+    /// Arrival of the completion of a leaf request at its broker.
     CompletionAtBroker(BrokerIndex, LeafId, LeafRequestId, LeafCompletion, Option<bool>),
-    /// A timer of a broker may be due.
+    /// Timer of a broker, possibly outdated.
     BrokerTimer(BrokerIndex),
-    /// A catalog reaches a broker.
+    /// Arrival of a catalog at a broker.
     CatalogAtBroker(BrokerIndex, Arc<Catalog>),
-    /// A leaf has loaded a snapshot.
+    /// Completed load of a snapshot at a leaf.
     SnapshotLoaded(LeafId, Snapshot),
-    /// An operator's change is accepted.
+    /// Change of an operator.
     ChangeAccepted(Change),
-    /// A caller sends a query again under its key.
+    /// Retry of a query with the same request key.
     CallerResends(GlobalQuery),
-    /// The caller of a query hangs up.
+    /// Disconnection of the caller of a query.
     CallerHangsUp(GlobalQuery),
-    /// An answer that was held back is given.
+    /// Delivery of an outcome that a mutant has delayed.
     HeldAnswer(GlobalQuery, QueryOutcome),
-    /// A fault comes.
+    /// Injected fault.
     Fault(Fault),
 }
 
-/// The world of the serving tier.
+/// State of the simulated serving tier.
 pub struct ServingWorld {
-    /// Brokers by number.
+    /// Brokers by index.
     pub brokers: Vec<BrokerModel>,
-    /// Leaves by number.
+    /// Leaves by identifier.
     pub leaves: BTreeMap<LeafId, LeafModel>,
     /// The accepted catalog.
     pub catalog: Catalog,
-    /// Classes and their load.
+    /// Load of each class.
     pub loads: Vec<ClassLoad>,
-    /// No caller comes after this time.
+    /// Time after which no further queries arrive.
     pub arrivals_end: Timestamp,
-    /// What callers and leaves saw.
+    /// Observations for the checks.
     pub history: History,
-    /// What happened, in order.
+    /// Event trace.
     pub trace: Trace,
-    /// The network between brokers and leaves.
+    /// Network between brokers and leaves.
     pub network: Network,
-    /// Callers send not-repeatable queries under keys, and send them again.
+    /// Whether callers retry queries that are not repeatable, with request keys.
     pub resending: bool,
-    /// Source of all random choices of the world.
+    /// Random number generator of the world.
     pub random: Pcg64,
-    /// A rule that is switched off.
+    /// Rule that is disabled, if any.
     pub mutant: Option<Mutant>,
 }
 
@@ -138,9 +138,9 @@
 }
 
 impl ServingWorld {
-    /// Accepts a change and sends the catalog to the brokers.
+    /// Applies a change and sends the catalog to the brokers.
     pub fn accept(&mut self, change: &Change, schedule: &mut Schedule<Event>) {
-        // A change that the catalog refuses is one that the operator is told about; nothing happens.
+        // If the catalog refuses a change, nothing is sent.
         if self.catalog.apply(change).is_err() {
             return;
         }
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Keeps the shards of every partition map for the checks.
+    /// Records the shards of all partition maps for the checks.
     pub fn record_shards(&mut self) {
         if let Some(service) = self.catalog.services().get(&ServiceName::new(SERVICE)) {
             for map in service.partitions() {
@@ -197,7 +197,7 @@
         self.submit(now, broker, submission, load.policy.priority, schedule);
     }
 
-    /// A query reaches a broker.
+    /// Submits a query to a broker and records it.
     pub(super) fn submit(
         &mut self,
         now: Timestamp,
@@ -215,7 +215,7 @@
             excused: false,
         };
         self.history.queries.insert(query, record);
-        let submission = self.bend_key(self.bend_class(submission));
+        let submission = self.alter_key(self.alter_class(submission));
         self.tell_broker(now, broker, BrokerEvent::Submitted(submission), schedule);
     }
 
@@ -240,7 +240,7 @@
         }
     }
 
-    pub(super) fn bend_class(&self, mut submission: Submission) -> Submission {
+    pub(super) fn alter_class(&self, mut submission: Submission) -> Submission {
         if self.mutant == Some(Mutant::ClassesIgnored) {
             submission.class = ClassName::new("standard");
         }
@@ -361,7 +361,7 @@
     }
 }
 
-/// Assigns leaves to shards in turn.
+/// Assigns leaves to shards round-robin.
 pub fn assignments(
     service: &ServiceName,
     shards: u32,
@@ -381,7 +381,7 @@
         .collect()
 }
 
-/// Whether a refusal is decided when a query is submitted, so that it has to come at once.
+/// Whether a refusal is decided at submission and must therefore be immediate.
 pub fn decided_on_entry(reason: RefusalReason) -> bool {
     matches!(
         reason,
