--- a/crates/simulation/src/routes/action.rs
+++ b/crates/simulation/src/routes/action.rs
@@ -1,4 +1,4 @@
-//! What a simulated broker does and waits for.
+//! Actions and timers of a simulated broker.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 use super::history::{Ending, RequestNumber};
 use super::request::RouteKind;
 
-/// An attempt of a broker.
+/// Key of an attempt at a broker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptKey {
-    /// The request.
+    /// Request of the attempt.
     pub request: RequestNumber,
-    /// Place of the part.
+    /// Index of the part in the request.
     pub part: usize,
-    /// The leaf.
+    /// Leaf to which the attempt was sent.
     pub leaf: LeafIdentity,
 }
 
-/// Something that a broker waits for.
+/// Timer of a broker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Timer {
-    /// Whether an answer is complete enough.
+    /// Check whether an answer is complete enough.
     Progress(RequestNumber),
-    /// Whether another leaf is asked as well, after so many were.
+    /// Check whether to hedge a part, with the index of the part and the number of leaves tried.
     Hedge(RequestNumber, usize, usize),
-    /// Whether a connection is free.
+    /// Check whether a connection is available for a part.
     Connection(RequestNumber, usize),
-    /// Whether a request still waits for admission.
+    /// Admission timeout of a request.
     Admission(RouteKind, TicketNumber),
 }
 
-/// What a broker does.
+/// Action of a broker.
 #[derive(Debug)]
 pub enum Action {
-    /// It sends a request to a leaf.
+    /// Send a request to a leaf.
     Send(AttemptKey),
-    /// It closes the connection of an attempt.
+    /// Close the connection of an attempt.
     Cancel(AttemptKey),
-    /// It wants to be told after this time.
+    /// Set a timer with this delay.
     Wake(Duration, Timer),
-    /// It answers a caller.
+    /// Respond to a caller.
     End(RequestNumber, Ending),
 }
--- a/crates/simulation/src/routes/bounds.rs
+++ b/crates/simulation/src/routes/bounds.rs
@@ -1,44 +1,44 @@
-//! Bounds of the simulated brokers and of what is promised to callers and leaves.
+//! Limits of the simulated brokers, and the guarantees to callers and leaves.
 
 use std::time::Duration;
 
 use gingerkeel_domain::forwarding::ExtraLoadSettings;
 use gingerkeel_domain::routes::PartsPerMillion;
 
-/// Time that a request is held at most.
+/// Request timeout.
 pub const TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time within which an answer is worth all.
+/// Target latency of an answer.
 pub const TARGET: Duration = Duration::from_millis(120);
-/// Least share of the parts.
+/// Minimum share of parts in an answer.
 pub const LEAST_SHARE: PartsPerMillion = PartsPerMillion(750_000);
-/// Leaves that one request may run on, at each service.
+/// Maximum number of leaves of each service that may execute one request.
 pub const ATTEMPTS: u32 = 2;
-/// Extra requests that all brokers may send in a window, as a share of requests.
+/// Maximum extra requests of all brokers in a window, as a fraction of requests.
 pub const EXTRA_RATIO: f64 = 0.2;
-/// Extra requests beyond that.
+/// Additional extra requests of all brokers in a window.
 pub const EXTRA_SLACK: f64 = 12.0;
-/// The budget of brokers. It stays below the bound, as the requests of a window that has moved on
-/// may be fewer than those that allowed its extra ones.
+/// Extra load budget of the brokers. It is lower than the guaranteed limit, since a window may move
+/// on to fewer requests than those that allowed its extra requests.
 pub const EXTRA_LOAD: ExtraLoadSettings = ExtraLoadSettings {
     ratio: 0.95 * EXTRA_RATIO,
     window: Duration::from_secs(2),
     slack: 0.7 * EXTRA_SLACK,
 };
-/// Time after the end of a leaf from which on another one may have its address, as the default of brokers.
+/// Minimum time between the end of a leaf and the reuse of its address; the default of brokers.
 pub const ADDRESS_REUSE: Duration = Duration::from_secs(2);
-/// Connections of a broker to one leaf.
+/// Maximum number of connections of a broker to one leaf.
 pub const CONNECTIONS: usize = 8;
-/// Share of replies that are waited for before another leaf is asked as well.
+/// Latency quantile after which a broker sends a hedge.
 pub const HEDGE_QUANTILE: f64 = 0.95;
-/// Silence, in hedge delays, after which a leaf that owes a reply is failing.
+/// Time without a reply, in multiples of the hedge delay, after which a leaf counts as failing.
 pub const SILENT_AFTER: u32 = 3;
-/// Time until leaves are looked at again to which there was no connection to spare.
+/// Retry interval if no connection is available.
 pub const CONNECTION_WAIT: Duration = Duration::from_millis(4);
-/// Time for which a request waits for a connection at most.
+/// Maximum time for which a request waits for a connection.
 pub const CONNECTION_WAIT_LIMIT: Duration = TARGET;
-/// Time until leaves are asked again that refused, or of which none could be asked.
+/// Retry interval after refusals, or if no leaf is available.
 pub const REFUSAL_WAIT: Duration = Duration::from_millis(20);
-/// Time before the deadline from which on they are not waited for any more.
+/// Time before the deadline at which these retries end.
 pub const REFUSAL_WAIT_END: Duration = Duration::from_millis(300);
-/// Time for which a request waits for admission at most.
+/// Maximum time for which a request waits for admission.
 pub const ADMISSION_WAIT: Duration = Duration::from_millis(450);
--- a/crates/simulation/src/routes/broker.rs
+++ b/crates/simulation/src/routes/broker.rs
@@ -1,4 +1,4 @@
-//! A broker in simulation: the aggregates of forwarding, driven by events instead of tasks.
+//! Simulated broker: the forwarding code of the domain, driven by events instead of tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 use super::history::{Ending, RequestNumber};
 use super::request::{Part, Request, RouteKind};
 
-/// A request that waits for admission.
+/// A queued request.
 #[derive(Debug, Clone)]
 struct Waiting {
     number: RequestNumber,
@@ -36,18 +36,18 @@
     services: Vec<usize>,
 }
 
-/// One broker.
+/// A simulated broker process.
 pub struct BrokerModel {
     replicas: BTreeMap<usize, ReplicaSet>,
     budgets: BTreeMap<usize, ExtraLoadBudget>,
     gates: BTreeMap<RouteKind, OverloadGate>,
     latencies: BTreeMap<RouteKind, LatencyWindow>,
     requests: BTreeMap<RequestNumber, Request>,
-    /// Requests that wait for admission.
+    /// Requests queued for admission.
     waiting: BTreeMap<(RouteKind, TicketNumber), Waiting>,
     in_use: BTreeMap<LeafIdentity, usize>,
     misdirected: MisdirectedRequests,
-    /// The services of the leaves that are known to have addresses of others.
+    /// Services of the new leaves at reused addresses.
     holders: BTreeMap<SocketAddr, usize>,
     extra_share: ExtraLoadShare,
     replica_settings: ReplicaSettings,
@@ -57,7 +57,8 @@
 }
 
 impl BrokerModel {
-    /// A broker, one of so many, that knows no leaf.
+    /// Creates a broker without leaves. `brokers` is the number of brokers that share the extra
+    /// load.
     pub fn new(brokers: usize, seed: u64, mutant: Option<Mutant>) -> Self {
         Self {
             replicas: BTreeMap::new(),
@@ -77,19 +78,19 @@
         }
     }
 
-    /// The list of leaves tells of one.
+    /// Handles a directory entry of a leaf.
     pub fn list(&mut self, now: Timestamp, service: usize, leaf: &ListedLeaf, distance: Distance) {
         self.replicas.entry(service).or_default().list(now, leaf, distance);
     }
 
-    /// The leaves to which a connection is opened now, to learn whether they are there.
+    /// Unresponsive leaves to check by a connection.
     pub fn leaves_to_check(&mut self, now: Timestamp) -> Vec<LeafIdentity> {
         let settings = &self.replica_settings;
         let replicas = self.replicas.values_mut();
         replicas.flat_map(|known| known.check_unresponsive(now, settings).to_check).collect()
     }
 
-    /// What came of such a connection.
+    /// Handles the result of a check; `taken` tells whether the leaf accepted the connection.
     pub fn checked(&mut self, now: Timestamp, service: usize, leaf: &LeafIdentity, taken: bool) {
         let settings = &self.replica_settings;
         match self.replicas.get_mut(&service) {
@@ -99,8 +100,7 @@
         }
     }
 
-    /// The list of leaves tells of a new leaf of a service, at the address of an ended one that it still
-    /// names.
+    /// Handles a directory entry of a new leaf at the address of an ended one that is still listed.
     pub fn list_at_taken_address(&mut self, now: Timestamp, address: SocketAddr, service: usize) {
         self.holders.insert(address, service);
         let uncovered = self.misdirected.take(now, EXTRA_LOAD.window, address);
@@ -108,7 +108,8 @@
         (0..uncovered).for_each(|_| budget.cover(&self.extra_share, now));
     }
 
-    /// A request arrived at a leaf that has the address of another one.
+    /// Handles a request that reached a leaf at a reused address: deducts it from the budget of
+    /// that leaf's service once the service is known.
     pub fn cover_misdirected(&mut self, now: Timestamp, address: SocketAddr) {
         if self.mutant == Some(Mutant::EndedLeavesUnnoticed) {
             return;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// A caller's request comes.
+    /// Admits, queues or refuses a request.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -154,7 +155,7 @@
         self.gates.entry(kind).or_insert_with(|| OverloadGate::new(&settings))
     }
 
-    /// A request waits no longer.
+    /// Removes a request from the admission queue and refuses it.
     fn end_wait(
         &mut self,
         now: Timestamp,
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Those begin that are admitted now.
+    /// Starts queued requests that can be admitted, and refuses those that cannot be served in
+    /// time.
     fn admit_next(&mut self, now: Timestamp, kind: RouteKind, actions: &mut Vec<Action>) {
         let settings = self.gate_settings;
         while let Some(ticket) = self.gate(kind).next(now, &settings) {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// A request begins that was admitted.
+    /// Starts an admitted request.
     fn begin(
         &mut self,
         now: Timestamp,
@@ -202,7 +204,7 @@
             began: BTreeMap::new(),
             came: None,
             leaf_failed: false,
-            told_overdue: false,
+            overdue_hedged: false,
         };
         let deadline = received.after(TIMEOUT);
         let times = GatherTimes { received, soft: received.after(TARGET), deadline };
@@ -222,7 +224,7 @@
         self.advance(now, number, request, actions);
     }
 
-    /// An attempt has ended.
+    /// Handles the outcome of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -246,7 +248,7 @@
         actions
     }
 
-    /// A timer is due.
+    /// Handles a timer.
     pub fn wake(&mut self, now: Timestamp, timer: Timer) -> Vec<Action> {
         let mut actions = Vec::new();
         let number = match timer {
@@ -290,10 +292,10 @@
         match after {
             _ if request.parts[key.part].came.is_some() => {}
             AfterAttempt::Reply => {
-                self.part_came(now, key.request, request, key.part, true, actions)
+                self.part_ended(now, key.request, request, key.part, true, actions)
             }
             AfterAttempt::NoReply => {
-                self.part_came(now, key.request, request, key.part, false, actions);
+                self.part_ended(now, key.request, request, key.part, false, actions);
             }
             AfterAttempt::AskAnother { .. } if none_open => {
                 self.ask(now, key.request, request, key.part, false, actions);
@@ -302,7 +304,7 @@
         }
     }
 
-    fn part_came(
+    fn part_ended(
         &mut self,
         now: Timestamp,
         number: RequestNumber,
@@ -316,10 +318,10 @@
             let counts = came || self.mutant == Some(Mutant::FailedPartsCount);
             gathering.record_part(now, counts);
         }
-        self.give_up_attempts(now, number, request, part, actions);
+        self.cancel_attempts(now, number, request, part, actions);
     }
 
-    /// Asks the next leaf, if one may be asked.
+    /// Sends the part to the next leaf, if possible. Otherwise schedules a retry or fails the part.
     fn ask(
         &mut self,
         now: Timestamp,
@@ -340,7 +342,7 @@
             Selection::Wait { otherwise } => otherwise,
             Selection::NoLeaf(_) => None,
         };
-        // A hedge to a leaf that is late itself is hardly ever the first to answer.
+        // A hedge to a late leaf rarely answers first.
         let choice = choice.filter(|choice| choice.sound || !hedge);
         let asked = choice.filter(|_| self.may_ask(now, &request.parts[part]));
         match asked {
@@ -354,7 +356,7 @@
                 actions.push(Action::Wake(REFUSAL_WAIT, Timer::Connection(number, part)));
             }
             None if request.parts[part].began.is_empty() => {
-                self.part_came(now, number, request, part, false, actions);
+                self.part_ended(now, number, request, part, false, actions);
             }
             None => {}
         }
@@ -406,13 +408,13 @@
         actions.push(Action::Send(AttemptKey { request: number, part: place, leaf: choice.leaf }));
     }
 
-    /// When another leaf is asked as well.
+    /// Delay of a hedge.
     fn hedge_delay(&self, kind: RouteKind) -> Duration {
         let latencies = self.latencies.get(&kind);
         hedge_delay(latencies.and_then(|known| known.quantile(HEDGE_QUANTILE)), TARGET)
     }
 
-    /// The leaf asked last is late: another one may be asked as well.
+    /// Records the last leaf as late and sends a hedge, if possible.
     fn hedge(
         &mut self,
         now: Timestamp,
@@ -433,7 +435,7 @@
         self.ask(now, number, request, part, true, actions);
     }
 
-    /// Answers the request, or says when to look at it again.
+    /// Completes the request, or schedules the next check of its progress.
     fn advance(
         &mut self,
         now: Timestamp,
@@ -453,7 +455,8 @@
             GatherStep::Finish => self.finish(now, number, request, actions),
             GatherStep::WaitUntil(at) => {
                 for part in 0..request.parts.len() {
-                    if overdue && !std::mem::replace(&mut request.parts[part].told_overdue, true) {
+                    if overdue && !std::mem::replace(&mut request.parts[part].overdue_hedged, true)
+                    {
                         self.hedge(now, number, &mut request, part, actions);
                     }
                 }
@@ -473,7 +476,7 @@
         actions: &mut Vec<Action>,
     ) {
         for part in 0..request.parts.len() {
-            self.give_up_attempts(now, number, &mut request, part, actions);
+            self.cancel_attempts(now, number, &mut request, part, actions);
         }
         let ending = self.ending(now, &request);
         let parts = request.gathering.as_ref().map(Gathering::in_time);
@@ -517,8 +520,8 @@
         }
     }
 
-    /// Closes the connections of a part's attempts that have not ended.
-    fn give_up_attempts(
+    /// Cancels the attempts in flight of a part.
+    fn cancel_attempts(
         &mut self,
         now: Timestamp,
         number: RequestNumber,
@@ -569,11 +572,13 @@
 }
 
 fn replica_settings(mutant: Option<Mutant>) -> ReplicaSettings {
-    let usual = ReplicaSettings { address_reuse: ADDRESS_REUSE, ..ReplicaSettings::default() };
+    let settings = ReplicaSettings { address_reuse: ADDRESS_REUSE, ..ReplicaSettings::default() };
     match mutant {
-        // The list is taken to name none that has ended.
-        Some(Mutant::EndedLeavesUnnoticed) => ReplicaSettings { list_lag: Duration::ZERO, ..usual },
-        _ => usual,
+        // Assumes that the directory never lists an ended leaf.
+        Some(Mutant::EndedLeavesUnnoticed) => {
+            ReplicaSettings { list_lag: Duration::ZERO, ..settings }
+        }
+        _ => settings,
     }
 }
 
--- a/crates/simulation/src/routes/check.rs
+++ b/crates/simulation/src/routes/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a history against the promises, apart from the code that keeps them.
+//! Checks of a history against the guarantees of route serving, independent of the code under test.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,33 +10,33 @@
 use super::history::{Ending, History, RequestNumber, RequestRecord};
 use super::world::LIST_DELAY;
 
-/// Time that a message takes at most.
+/// Maximum network delay of a message.
 const MESSAGE_SLACK: Duration = Duration::from_millis(2);
-/// Slack of the clock for an ending that is due.
+/// Tolerance for late responses.
 const ENDING_SLACK: Duration = Duration::from_millis(2);
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// A request did not get exactly one ending.
+    /// A request does not have exactly one response.
     NotOneEnding(RequestNumber),
-    /// An ending came after the deadline.
+    /// A response came after the deadline.
     Late(RequestNumber),
-    /// An answer names a part of which no good reply came.
+    /// An answer contains a part without a successful reply.
     FalsePart(RequestNumber, usize),
-    /// An answer has fewer parts than the least share.
+    /// An answer has fewer parts than the minimum share.
     BelowLeastShare(RequestNumber),
-    /// A request was taken in by more leaves of a service than allowed.
+    /// More leaves of a service than allowed accepted a request.
     TooManyRuns(RequestNumber, usize),
-    /// A request was said to be not run, and ran.
+    /// A leaf accepted a request that was reported as not run.
     NotRunWasRun(RequestNumber),
-    /// Work reached a leaf too long after the list said that it leaves.
+    /// A request reached a leaf too long after the directory listed it as leaving.
     WorkForLeaving(LeafPlace),
-    /// More extra requests reached a service in a window than the budget allows.
+    /// A service received more extra requests in a window than the budget allows.
     OverBudget(usize),
 }
 
-/// All broken promises of a run.
+/// Returns all violations in a history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (number, record) in &history.requests {
@@ -103,8 +103,9 @@
     }
 }
 
-/// In every window that ends with an extra arrival, the extra ones stay within the ratio of the
-/// requests of that window, the one before or the one half a window before, and the slack.
+/// In every window that ends with an extra request, the number of extra requests is within the
+/// slack and the ratio of the requests in that window, the previous one or the one half a window
+/// earlier.
 fn check_budget(history: &History, violations: &mut Vec<Violation>) {
     let services: BTreeSet<usize> =
         history.requests.values().flat_map(|record| record.services.iter().copied()).collect();
@@ -131,7 +132,7 @@
     }
 }
 
-/// When requests arrived at a service that had arrived there before.
+/// Arrival times of requests that had already arrived at the service before.
 fn extra_arrivals(history: &History, service: usize) -> Vec<Timestamp> {
     let mut seen = BTreeSet::new();
     let of_service = history.arrivals.iter().filter(|arrival| arrival.leaf.service == service);
--- a/crates/simulation/src/routes/fault.rs
+++ b/crates/simulation/src/routes/fault.rs
@@ -1,48 +1,48 @@
-//! What goes wrong in a run, and rules that are switched off to see the checks fail.
+//! Injected faults, and mutants that disable a rule of the code under test.
 
 use super::leaf::LeafMode;
 
-/// A leaf: its service, by place, and its place among the leaves of that.
+/// Index of a leaf: its service, and its position among the leaves of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeafPlace {
-    /// Place of the service; the one after the shards is asked for single requests.
+    /// Index of the service. The last service, after the shards, serves single requests.
     pub service: usize,
-    /// Place among its leaves.
+    /// Index of the leaf in its service.
     pub leaf: usize,
 }
 
-/// A fault.
+/// An injected fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// The leaf behaves so from now on.
+    /// Changes the mode of the leaf.
     Mode(LeafPlace, LeafMode),
-    /// The leaf takes this many times as long from now on.
+    /// Multiplies the service times of the leaf by this factor.
     Slow(LeafPlace, f64),
-    /// The list of leaves says from now on that the leaf leaves.
+    /// Lists the leaf as leaving in the directory.
     Leaving(LeafPlace),
-    /// This many times the callers come from now on.
+    /// Multiplies the request rate by this factor.
     Load(f64),
 }
 
-/// A fault and when it comes.
+/// A fault with its time.
 pub type TimedFault = crate::fault_plan::TimedFault<Fault>;
 
-/// A rule of the code that is switched off by keeping from it what it needs to know.
+/// A rule that the simulation disables, to show that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// Extra requests are sent without asking the budget.
+    /// The budget of extra requests is ignored.
     BudgetIgnored,
-    /// Every request is taken for a repeatable one.
+    /// All requests are treated as repeatable.
     EveryRequestRepeatable,
-    /// No leaf is told to be leaving.
+    /// Brokers are not notified of leaving leaves.
     LeavingUnheard,
-    /// A part that failed is taken for one that came.
+    /// Failed parts count as received.
     FailedPartsCount,
-    /// A request that may have run is said not to have.
+    /// Requests that may have run are reported as not run.
     UnknownSaidNotRun,
-    /// An ended leaf is not told from a slow one, and what arrived at whoever has its address is not taken out of
-    /// a budget.
+    /// Ended leaves are treated as slow ones, and requests that reach another leaf at a reused
+    /// address are not deducted from the budget.
     EndedLeavesUnnoticed,
-    /// A request is held on past its deadline.
+    /// Requests continue after their deadlines.
     DeadlineUnheard,
 }
--- a/crates/simulation/src/routes/history.rs
+++ b/crates/simulation/src/routes/history.rs
@@ -1,4 +1,4 @@
-//! What callers and leaves saw in a run.
+//! Observations of callers and leaves.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,64 +6,64 @@
 
 use super::fault::LeafPlace;
 
-/// Number of a request.
+/// Number of a request, unique in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestNumber(pub u64);
 
-/// How a request ended for its caller.
+/// Response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// Answered with the parts of these services.
     Answered(BTreeSet<usize>),
-    /// A leaf said that it failed; it has run.
+    /// A leaf executed the request and reported a failure.
     LeafFailed,
     /// Refused as not run.
     NotRun,
-    /// It may have run.
+    /// Failed, with unknown execution.
     MayHaveRun,
-    /// Its time was over; it may have run.
+    /// Timed out, with unknown execution.
     TimedOut,
 }
 
-/// One request.
+/// A request as observed by its caller.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// When it came.
+    /// Time of the request.
     pub came: Timestamp,
-    /// When it has to be answered.
+    /// Time limit for the response.
     pub deadline: Timestamp,
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
-    /// The services of its parts.
+    /// Services of the parts of the request.
     pub services: Vec<usize>,
-    /// How it ended, and when; more than one is a fault.
+    /// Each response with its time. More than one is a violation.
     pub endings: Vec<(Timestamp, Ending)>,
 }
 
-/// A request at a leaf.
+/// Arrival of a request at a leaf.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivalRecord {
-    /// When.
+    /// Arrival time.
     pub at: Timestamp,
-    /// The request.
+    /// Number of the request.
     pub request: RequestNumber,
-    /// The leaf.
+    /// Leaf that received the request.
     pub leaf: LeafPlace,
-    /// Whether the leaf took it in, so that it may run.
+    /// Whether the leaf accepted the request for execution.
     pub taken: bool,
 }
 
-/// What was seen.
+/// Observations of a run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Requests.
+    /// Requests by number.
     pub requests: BTreeMap<RequestNumber, RequestRecord>,
-    /// Requests at leaves, in order of time.
+    /// Arrivals of requests at leaves, ordered by time.
     pub arrivals: Vec<ArrivalRecord>,
-    /// Replies that tell of success and reached the broker, by request and service.
+    /// Successful replies received by brokers, by request and service.
     pub good_replies: BTreeSet<(RequestNumber, usize)>,
-    /// Runs that a leaf finished, by request and service.
+    /// Number of completed executions, by request and service.
     pub runs: BTreeMap<(RequestNumber, usize), u32>,
-    /// When the list said that a leaf leaves.
+    /// Times at which the directory listed leaves as leaving.
     pub leaving: BTreeMap<LeafPlace, Timestamp>,
 }
--- a/crates/simulation/src/routes/leaf.rs
+++ b/crates/simulation/src/routes/leaf.rs
@@ -1,4 +1,4 @@
-//! A leaf of a route's service: slots, a queue, pauses, and ways to fail.
+//! Simulated leaf with execution slots, a bounded queue, pauses and failure modes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,68 +8,68 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64;
 
-/// Requests that a leaf works on at once.
+/// Number of concurrent requests at a leaf.
 pub const SLOTS: usize = 5;
-/// Requests that wait for a slot before a leaf refuses.
+/// Queue length at which a leaf refuses requests.
 const QUEUE_LIMIT: usize = 30;
 /// Median service time.
 const MEDIAN_SERVICE: Duration = Duration::from_millis(10);
-/// Spread of the logarithm of service times.
+/// Standard deviation of the logarithm of service times.
 const SERVICE_SIGMA: f64 = 0.35;
 
-/// What a leaf does with requests.
+/// Behavior of a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeafMode {
-    /// It answers.
+    /// Answers requests.
     Sound,
-    /// It takes no connection.
+    /// Refuses connections.
     Down,
-    /// It says nothing and runs nothing.
+    /// Does not respond and executes nothing.
     Dark,
-    /// It runs requests and loses its answers.
+    /// Executes requests, but its replies are lost.
     LosesAnswers,
-    /// It runs requests and answers that it failed.
+    /// Executes requests and replies with failures.
     Fails,
-    /// It refuses requests without running them.
+    /// Refuses requests without execution.
     Refuses,
-    /// It has ended, and a leaf of this service has its address.
+    /// Has ended, and a leaf of this service has its address.
     AddressTaken(usize),
 }
 
-/// Number of an attempt, over all brokers.
+/// Number of an attempt, unique over all brokers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u64);
 
-/// What a leaf does when a request arrives.
+/// Result of the arrival of a request at a leaf.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// It runs, or will once a slot is free.
+    /// Accepted: running or queued.
     Taken,
-    /// It is refused and will not run.
+    /// Refused without execution.
     Refused,
-    /// No connection came up.
+    /// Connection refused.
     NotConnected,
-    /// Nothing comes back.
+    /// No response.
     Swallowed,
-    /// It arrives at a leaf of this service, which refuses it.
+    /// Received and refused by a leaf of this service, which has the address.
     Misdirected(usize),
 }
 
-/// One leaf.
+/// A simulated leaf process.
 #[derive(Debug)]
 pub struct LeafModel {
-    /// What it does with requests.
+    /// Behavior of the leaf.
     pub mode: LeafMode,
     /// Factor on service times.
     pub slow_factor: f64,
-    /// It works on nothing before this time.
+    /// End of the current pause; no request finishes before.
     pub paused_until: Timestamp,
     running: Vec<AttemptNumber>,
     waiting: VecDeque<AttemptNumber>,
 }
 
 impl LeafModel {
-    /// A sound leaf without work.
+    /// Creates a healthy leaf without requests.
     pub fn new() -> Self {
         Self {
             mode: LeafMode::Sound,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether a connection without a request is taken; none where nothing comes back.
+    /// Whether the leaf accepts a connection, or `None` if it does not respond.
     pub fn takes_connection(&self) -> Option<bool> {
         match self.mode {
             LeafMode::Dark => None,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A request arrives.
+    /// Queues or refuses a request.
     pub fn arrive(&mut self, attempt: AttemptNumber) -> Arrival {
         match self.mode {
             LeafMode::Down => return Arrival::NotConnected,
@@ -109,7 +109,7 @@
         Arrival::Taken
     }
 
-    /// Requests that start now, each with the time until it is done.
+    /// Starts queued requests while slots are free. Returns each with its execution time.
     pub fn start(&mut self, now: Timestamp, random: &mut Pcg64) -> Vec<(AttemptNumber, Duration)> {
         let mut started = Vec::new();
         while self.running.len() < SLOTS {
@@ -126,19 +126,19 @@
     fn service_time(&self, random: &mut Pcg64) -> Duration {
         let factor = LogNormal::new(0.0, SERVICE_SIGMA)
             .map_or(1.0, |distribution| distribution.sample(random));
-        // The spread of the distribution has no bound.
+        // The distribution is unbounded.
         let factor = factor.clamp(0.2, 20.0) * random.random_range(0.9..1.1);
         MEDIAN_SERVICE.mul_f64(factor * self.slow_factor)
     }
 
-    /// A request is done; false when it was cancelled before.
+    /// Ends a running request. Returns false if it has been cancelled.
     pub fn finish(&mut self, attempt: AttemptNumber) -> bool {
         let before = self.running.len();
         self.running.retain(|running| *running != attempt);
         self.running.len() < before
     }
 
-    /// The broker closes the connection of a request.
+    /// Cancels a queued or running request, whose connection has been closed.
     pub fn cancel(&mut self, attempt: AttemptNumber) {
         self.running.retain(|running| *running != attempt);
         self.waiting.retain(|waiting| *waiting != attempt);
--- a/crates/simulation/src/routes/mod.rs
+++ b/crates/simulation/src/routes/mod.rs
@@ -1,7 +1,8 @@
-//! The serving of routes in simulation: brokers that forward and merge, leaves, callers.
+//! Simulation of route serving: brokers that forward requests and merge answers, leaves and
+//! callers.
 //!
-//! The brokers' choice of leaves, budget of extra requests, admission, attempts and gathering are
-//! the aggregates that the broker itself runs; connections and waiting are modelled here.
+//! Leaf selection, extra load budget, admission, attempts and gathering are the domain code of the
+//! broker. Connections and timers are simulated.
 
 mod action;
 mod bounds;
--- a/crates/simulation/src/routes/request.rs
+++ b/crates/simulation/src/routes/request.rs
@@ -1,4 +1,4 @@
-//! A request at a broker and its parts.
+//! State of a request at a simulated broker.
 
 use std::collections::BTreeMap;
 
@@ -6,45 +6,45 @@
 use gingerkeel_domain::identifiers::LeafIdentity;
 use gingerkeel_domain::time::Timestamp;
 
-/// Kind of a request: the route that it takes.
+/// Route of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RouteKind {
-    /// One part of each shard.
+    /// Gathers one part from each shard.
     Gathered,
-    /// One leaf; not repeatable.
+    /// Is sent to one leaf and is not repeatable.
     Once,
 }
 
-/// A part: the request at the leaves of one service.
+/// Part of a request: its attempts at the leaves of one service.
 #[derive(Debug)]
 pub struct Part {
-    /// Place of the service.
+    /// Index of the service.
     pub service: usize,
-    /// The attempts.
+    /// Attempts at leaves of the service.
     pub attempts: RequestAttempts,
-    /// When each attempt began that has not ended.
+    /// Start times of the attempts in flight.
     pub began: BTreeMap<LeafIdentity, Timestamp>,
-    /// Whether a reply came; none while that is open.
+    /// Whether a reply was received, or `None` while attempts are pending.
     pub came: Option<bool>,
-    /// Whether the reply says that the leaf failed.
+    /// Whether the reply reports a failure of the leaf.
     pub leaf_failed: bool,
-    /// Whether it was told that the other parts were faster.
-    pub told_overdue: bool,
+    /// Whether the part has been hedged because it was overdue compared to the other parts.
+    pub overdue_hedged: bool,
 }
 
-/// A request.
+/// A request in progress.
 #[derive(Debug)]
 pub struct Request {
-    /// Its route.
+    /// Route of the request.
     pub kind: RouteKind,
-    /// When it was admitted.
+    /// Admission time.
     pub admitted: Timestamp,
-    /// When it has to be answered.
+    /// Time limit for the response.
     pub deadline: Timestamp,
-    /// Which parts are in; none of a request to one leaf.
+    /// Received parts, or `None` for a request to one leaf.
     pub gathering: Option<Gathering>,
-    /// Its parts.
+    /// Parts of the request.
     pub parts: Vec<Part>,
-    /// What the attempts at all parts tell of whether it has run.
+    /// Evidence from all attempts on whether the request has been executed.
     pub evidence: ExecutionEvidence,
 }
--- a/crates/simulation/src/routes/scenario.rs
+++ b/crates/simulation/src/routes/scenario.rs
@@ -1,4 +1,4 @@
-//! Named scenarios: a load and the faults that it meets.
+//! Scenarios of route serving: the load and its faults.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 use crate::trace::Trace;
 use crate::virtual_clock::{ClockError, Schedule, run};
 
-/// Time during which callers come.
+/// Duration of the load.
 const ARRIVALS: Duration = Duration::from_secs(6);
-/// Time after the last caller until everything has an ending.
+/// Time limit for responses after the end of the load.
 const SETTLING: Duration = Duration::from_secs(2);
 
-/// A scenario.
+/// A fault plan under the default load.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     plan: FaultPlan<Fault>,
 }
 
-/// What a run gave.
+/// Result of a run.
 pub type Outcome = crate::outcome::Outcome<History, Violation>;
 
 fn any_leaf(random: &mut Pcg64) -> LeafPlace {
@@ -43,7 +43,7 @@
     (0..LEAVES).map(move |leaf| LeafPlace { service, leaf })
 }
 
-/// The leaves behave so for a while.
+/// Changes the mode of the leaves for a limited time.
 fn for_a_while(
     random: &mut Pcg64,
     leaves: impl Iterator<Item = LeafPlace>,
@@ -56,16 +56,17 @@
     faults.collect()
 }
 
-/// Each leaf behaves so for a while with this chance.
-fn here_and_there(random: &mut Pcg64, share: f64, mode: LeafMode) -> Vec<TimedFault> {
+/// Changes the mode of each leaf for a limited time, with probability `share`.
+fn at_random_leaves(random: &mut Pcg64, share: f64, mode: LeafMode) -> Vec<TimedFault> {
     let places: Vec<LeafPlace> =
         super::world::places().filter(|_| random.random_bool(share)).collect();
     for_a_while(random, places.into_iter(), mode)
 }
 
-/// Two leaves of each shard but one end, and leaves of that one get their addresses while the list goes on
-/// naming them. They refuse connections or are silent until then. All leaves of the shard that gets the
-/// addresses are slow, so that brokers spend what extra requests they may send there.
+/// Two leaves of every shard except one end. They refuse connections or do not respond, until new
+/// leaves of the remaining shard reuse their addresses while the directory still lists the ended
+/// leaves. All leaves of the remaining shard are slow, so that brokers use up its extra load
+/// budget.
 fn addresses_taken(random: &mut Pcg64) -> Vec<TimedFault> {
     let receiver = random.random_range(0..SHARDS);
     let survivor = random.random_range(0..LEAVES);
@@ -119,10 +120,10 @@
                 for_a_while(random, leaves_of(SHARDS), LeafMode::Down)
             }),
             Self::new("routes-answers-lost", |random| {
-                here_and_there(random, 0.3, LeafMode::LosesAnswers)
+                at_random_leaves(random, 0.3, LeafMode::LosesAnswers)
             }),
-            Self::new("routes-failures", |random| here_and_there(random, 0.4, LeafMode::Fails)),
-            Self::new("routes-refusals", |random| here_and_there(random, 0.4, LeafMode::Refuses)),
+            Self::new("routes-failures", |random| at_random_leaves(random, 0.4, LeafMode::Fails)),
+            Self::new("routes-refusals", |random| at_random_leaves(random, 0.4, LeafMode::Refuses)),
             Self::new("routes-leaving", |random| {
                 let moment = any_moment(random);
                 let leaf = random.random_range(0..LEAVES);
@@ -137,36 +138,36 @@
         ]
     }
 
-    /// Leaves end, and leaves of another service get their addresses.
+    /// Scenario in which leaves end, and leaves of another service reuse their addresses.
     pub fn addresses_taken() -> Self {
         Self::new("routes-addresses-taken", addresses_taken)
     }
 
-    /// The scenario of this name.
+    /// Finds a scenario by name.
     pub fn named(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|scenario| scenario.name() == name)
     }
 
-    /// Name, as the command line takes it; a pair has both names.
+    /// Scenario name. A pair has the names of both scenarios.
     pub fn name(&self) -> String {
         self.plan.name()
     }
 
-    /// This scenario with the faults of another one too.
+    /// Combines the faults of two scenarios.
     pub fn with(&self, other: &Self) -> Self {
         Self { plan: self.plan.with(&other.plan) }
     }
 
-    /// The faults of a run with this seed.
+    /// Draws the faults for `seed`.
     pub fn faults(&self, seed: u64) -> Vec<TimedFault> {
         self.plan.faults(seed)
     }
 }
 
-/// Runs faults and checks what came of it.
+/// Runs the world with `faults` and checks its history.
 ///
 /// # Errors
-/// A [`ClockError`] when the code under simulation panics.
+/// Returns a [`ClockError`] if the code under simulation panics.
 pub fn run_scenario(
     seed: u64,
     faults: &[TimedFault],
--- a/crates/simulation/src/routes/world.rs
+++ b/crates/simulation/src/routes/world.rs
@@ -1,4 +1,4 @@
-//! The world of the serving of routes: who does what on which event.
+//! Simulated world of route serving, and the dispatch of its events.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,58 +21,59 @@
 use crate::trace::Trace;
 use crate::virtual_clock::{Schedule, World};
 
-/// Brokers.
+/// Number of brokers.
 pub const BROKERS: usize = 3;
-/// Shards; the service after them is asked for single requests.
+/// Number of shards. The service after the shards serves single requests.
 pub const SHARDS: usize = 6;
-/// Leaves of each service.
+/// Number of leaves of each service.
 pub const LEAVES: usize = 3;
-/// Place of a leaf that no broker was told of, among the leaves of its service.
+/// Index, in its service, of a new leaf at a reused address.
 const NEW_LEAF: usize = LEAVES;
-/// Share of the requests that ask all shards.
+/// Fraction of requests that gather parts from all shards.
 const GATHERED_SHARE: f64 = 0.7;
-/// Time between two callers.
+/// Mean interval between requests.
 const BETWEEN_CALLERS: Duration = Duration::from_millis(4);
-/// Delay of a message to or from a leaf.
+/// One-way network delay between a broker and a leaf.
 const NETWORK_DELAY: std::ops::Range<Duration> =
     Duration::from_micros(300)..Duration::from_micros(1_500);
-/// Time from a change of the list of leaves until a broker has it.
+/// Maximum time until a change of the directory reaches a broker.
 pub const LIST_DELAY: Duration = Duration::from_millis(400);
-/// Time between two looks of a broker at which leaves have missed.
+/// Interval between a broker's checks of unresponsive leaves.
 const CHECK_ROUND: Duration = Duration::from_millis(200);
-/// How long a leaf pauses, and how often.
+/// Duration of a leaf's pauses, and the interval between them.
 const PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(2_500)];
 
-/// What happens.
+/// Event of the simulated world.
 #[derive(Debug)]
 pub enum Event {
-    /// The next caller comes.
+    /// Arrival of the next request at a broker.
     CallerComes,
-    /// A request reaches a leaf.
+    /// Arrival of an attempt at a leaf.
     AtLeaf(AttemptNumber),
-    /// The close of a connection reaches a leaf.
+    /// Arrival of a cancellation at a leaf.
     CancelAtLeaf(AttemptNumber),
-    /// A leaf has done a request.
+    /// End of an execution at a leaf.
     Done(LeafPlace, AttemptNumber),
-    /// A leaf pauses for a moment.
+    /// Start of a pause of a leaf.
     Pause(LeafPlace),
-    /// News of an attempt reaches its broker.
+    /// Arrival of the outcome of an attempt at its broker.
     EndAtBroker(AttemptNumber, Result<u16, AttemptError>),
-    /// A timer of a broker is due.
+    /// Timer of a broker.
     Timer(usize, Timer),
-    /// The list of leaves reaches a broker.
+    /// Arrival of a directory entry at a broker.
     ListAtBroker(usize, LeafPlace),
-    /// The list names to a broker a leaf of this service at the address of an ended one.
+    /// Arrival at a broker of the directory entry of a new leaf of this service, at the address of
+    /// an ended leaf.
     TakenAddressAtBroker(usize, LeafPlace, usize),
-    /// A broker looks at which leaves have missed.
+    /// Start of a broker's check of unresponsive leaves.
     Check(usize),
-    /// A broker hears whether a leaf took its connection.
+    /// Result of a check, which tells whether the leaf accepted the connection.
     CheckedAtBroker(usize, LeafPlace, bool),
-    /// A fault comes.
+    /// Injected fault.
     Fault(Fault),
 }
 
-/// An attempt and whose it is.
+/// An attempt with its broker and leaf.
 #[derive(Debug, Clone)]
 struct Attempt {
     broker: usize,
@@ -80,7 +81,7 @@
     leaf: LeafPlace,
 }
 
-/// The world.
+/// State of the simulated brokers, leaves and callers.
 pub struct RouteWorld {
     brokers: Vec<BrokerModel>,
     leaves: BTreeMap<LeafPlace, LeafModel>,
@@ -92,14 +93,14 @@
     arrivals_end: Timestamp,
     random: Pcg64,
     mutant: Option<Mutant>,
-    /// What callers and leaves saw.
+    /// Observations for the checks.
     pub history: History,
-    /// What happened.
+    /// Event trace.
     pub trace: Trace,
 }
 
 impl RouteWorld {
-    /// A world in which callers come until `arrivals_end`.
+    /// Creates a world with requests until `arrivals_end`.
     pub fn new(
         mut random: Pcg64,
         arrivals_end: Timestamp,
@@ -127,7 +128,7 @@
         world
     }
 
-    /// The events with which a run begins.
+    /// Schedules the initial events.
     pub fn start(&mut self, schedule: &mut Schedule<Event>) {
         (0..BROKERS).for_each(|broker| schedule.after(CHECK_ROUND, Event::Check(broker)));
         schedule.after(Duration::ZERO, Event::CallerComes);
@@ -136,14 +137,14 @@
         }
     }
 
-    /// Connections without a request, to leaves that have missed.
+    /// Opens connections to unresponsive leaves, without a request.
     fn check_leaves(&mut self, now: Timestamp, broker: usize, schedule: &mut Schedule<Event>) {
         schedule.after(CHECK_ROUND, Event::Check(broker));
         for leaf in self.brokers[broker].leaves_to_check(now) {
             let place = place_of(&leaf);
             if let Some(taken) = self.leaves[&place].takes_connection() {
-                let there_and_back = self.delay() + self.delay();
-                schedule.after(there_and_back, Event::CheckedAtBroker(broker, place, taken));
+                let round_trip = self.delay() + self.delay();
+                schedule.after(round_trip, Event::CheckedAtBroker(broker, place, taken));
             }
         }
     }
@@ -169,7 +170,7 @@
         self.brokers[broker].list(now, place.service, &listed, distance);
     }
 
-    fn caller_comes(&mut self, now: Timestamp, schedule: &mut Schedule<Event>) {
+    fn request_arrives(&mut self, now: Timestamp, schedule: &mut Schedule<Event>) {
         if now >= self.arrivals_end {
             return;
         }
@@ -329,7 +330,7 @@
             Fault::Mode(place, mode) => {
                 self.with_leaf(place, |leaf| leaf.mode = mode);
                 if let LeafMode::AddressTaken(service) = mode {
-                    self.tell_brokers(schedule, |broker| {
+                    self.notify_brokers(schedule, |broker| {
                         Event::TakenAddressAtBroker(broker, place, service)
                     });
                 }
@@ -337,16 +338,16 @@
             Fault::Slow(place, factor) => self.with_leaf(place, |leaf| leaf.slow_factor = factor),
             Fault::Leaving(place) => {
                 self.history.leaving.entry(place).or_insert(now);
-                self.tell_brokers(schedule, |broker| Event::ListAtBroker(broker, place));
+                self.notify_brokers(schedule, |broker| Event::ListAtBroker(broker, place));
             }
         }
     }
 
-    /// Each broker hears of a change of the list some time after it.
-    fn tell_brokers(&mut self, schedule: &mut Schedule<Event>, news: impl Fn(usize) -> Event) {
+    /// Sends a change of the directory to all brokers, with random delays.
+    fn notify_brokers(&mut self, schedule: &mut Schedule<Event>, event: impl Fn(usize) -> Event) {
         for broker in 0..BROKERS {
             let delay = self.random.random_range(Duration::ZERO..LIST_DELAY);
-            schedule.after(delay, news(broker));
+            schedule.after(delay, event(broker));
         }
     }
 
@@ -362,7 +363,7 @@
 
     fn handle(&mut self, now: Timestamp, event: Event, schedule: &mut Schedule<Event>) {
         match event {
-            Event::CallerComes => self.caller_comes(now, schedule),
+            Event::CallerComes => self.request_arrives(now, schedule),
             Event::AtLeaf(number) => self.at_leaf(now, number, schedule),
             Event::CancelAtLeaf(number) => self.cancel(now, number, schedule),
             Event::Done(place, number) => self.done(now, place, number, schedule),
@@ -390,7 +391,7 @@
     }
 }
 
-/// All leaves.
+/// Indexes of all listed leaves.
 pub fn places() -> impl Iterator<Item = LeafPlace> {
     (0..=SHARDS).flat_map(|service| (0..LEAVES).map(move |leaf| LeafPlace { service, leaf }))
 }
