--- a/crates/simulation/src/control/world.rs
+++ b/crates/simulation/src/control/world.rs
@@ -27,7 +27,8 @@
 /// Interval between concurrent changes of all operators.
 pub(super) const RACE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Event of the simulated world. Machine and broker events carry the run number of the process.
+/// Event of the simulated world. A `u64` is the run number of a machine or broker process, to
+/// discard outdated events.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// Arrival of a message.
