--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,7 +1,7 @@
-//! Deterministic simulation: the domain aggregates that the programs run, on a virtual clock.
+//! Deterministic simulation of the domain code on a virtual clock.
 //!
-//! A [`virtual_clock::World`] holds every node and the network between them; nexosim orders its
-//! events in time on one thread. The same seed gives the same trace, byte for byte.
+//! A [`virtual_clock::World`] contains all nodes and the network between them. nexosim schedules
+//! its events on a single thread, so that a run with the same seed produces an identical trace.
 
 pub mod control;
 pub mod fault_plan;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `gingerkeel-simulate`: runs scenarios on a virtual clock and replays them.
+//! `gingerkeel-simulate` runs and replays scenarios on a virtual clock.
 
 use std::process::exit;
 use std::str::FromStr;
@@ -7,9 +7,9 @@
 use gingerkeel_simulation::suite::Scenario;
 use gumdrop::Options;
 
-/// Exit code when a run broke a promise.
+/// Exit code if a run has violations.
 const EXIT_VIOLATION: i32 = 1;
-/// Exit code when the flags are wrong.
+/// Exit code for invalid flags.
 const EXIT_USAGE: i32 = 2;
 
 /// Deterministic simulation of the gingerkeel query tier.
@@ -23,15 +23,15 @@
     list: bool,
     #[options(help = "scenario to run; all by default", meta = "NAME", no_short)]
     scenario: Option<String>,
-    #[options(help = "second scenario, whose faults come too", meta = "NAME", no_short)]
+    #[options(help = "second scenario, whose faults are added", meta = "NAME", no_short)]
     with: Option<String>,
     #[options(help = "run every pair of scenarios", no_short)]
     pairs: bool,
-    #[options(help = "seed to replay, with its trace", meta = "N", no_short)]
+    #[options(help = "seed to replay with its trace", meta = "N", no_short)]
     seed: Option<u64>,
-    #[options(help = "seeds to run, the last one included", meta = "A..B", no_short)]
+    #[options(help = "inclusive range of seeds to run", meta = "A..B", no_short)]
     seeds: Option<SeedRange>,
-    #[options(help = "runs at the same time", default = "4", meta = "N", no_short)]
+    #[options(help = "number of parallel runs", default = "4", meta = "N", no_short)]
     jobs: usize,
 }
 
@@ -62,7 +62,7 @@
         println!("gingerkeel-simulate {}", env!("CARGO_PKG_VERSION"));
         return;
     }
-    let scenarios = chosen_scenarios(&flags);
+    let scenarios = selected_scenarios(&flags);
     if flags.list {
         scenarios.iter().for_each(|scenario| println!("{}", scenario.name()));
         return;
@@ -79,7 +79,7 @@
     }
 }
 
-fn chosen_scenarios(flags: &Flags) -> Vec<Scenario> {
+fn selected_scenarios(flags: &Flags) -> Vec<Scenario> {
     let first = flags.scenario.as_deref().map(named);
     let second = flags.with.as_deref().map(named);
     match (first, second) {
@@ -104,14 +104,15 @@
     exit(EXIT_USAGE);
 }
 
-/// Each of `firsts` with every scenario of its tier, itself included: a failure may come twice.
+/// Pairs of each scenario in `firsts` with all scenarios of its tier, including itself since a
+/// fault may occur twice.
 fn pairs(firsts: &[Scenario]) -> Vec<Scenario> {
     let seconds = Scenario::all();
     let pairs = firsts.iter().flat_map(|first| seconds.iter().map(|second| first.with(second)));
     pairs.flatten().collect()
 }
 
-/// Runs one seed with its trace; whether every promise held.
+/// Runs one seed and prints its trace. Returns whether the run has no violations.
 fn replay(scenario: &Scenario, seed: u64) -> bool {
     match scenario.run(seed, true) {
         Ok(report) => {
@@ -127,7 +128,7 @@
     }
 }
 
-/// Runs many seeds in parallel; how many broke a promise.
+/// Runs a range of seeds in parallel. Returns the number of seeds with violations.
 fn run_many(scenario: &Scenario, seeds: SeedRange, jobs: usize) -> usize {
     let jobs = jobs.max(1) as u64;
     let failing: Vec<u64> = thread::scope(|scope| {
@@ -136,7 +137,7 @@
                 scope.spawn(move || {
                     (seeds.first..=seeds.last)
                         .filter(|seed| seed % jobs == job)
-                        .filter(|seed| !holds(scenario, *seed))
+                        .filter(|seed| !passes(scenario, *seed))
                         .collect::<Vec<u64>>()
                 })
             })
@@ -151,6 +152,6 @@
     failing.len()
 }
 
-fn holds(scenario: &Scenario, seed: u64) -> bool {
+fn passes(scenario: &Scenario, seed: u64) -> bool {
     scenario.run(seed, false).is_ok_and(|report| report.violations.is_empty())
 }
--- a/crates/simulation/src/outcome.rs
+++ b/crates/simulation/src/outcome.rs
@@ -1,12 +1,12 @@
-//! What a run of any tier gives.
+//! Result of a run of any tier.
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome<History, Violation> {
-    /// What was seen from outside.
+    /// Observations of the run.
     pub history: History,
-    /// Hash over the trace.
+    /// Hash of the trace, to compare runs.
     pub trace_hash: u64,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
 }
--- a/crates/simulation/src/suite.rs
+++ b/crates/simulation/src/suite.rs
@@ -1,4 +1,4 @@
-//! The scenarios of all tiers behind one face, for the command line.
+//! Common interface to the scenarios of all tiers.
 
 use crate::outcome::Outcome;
 use crate::virtual_clock::ClockError;
@@ -7,20 +7,20 @@
 /// A scenario of one of the tiers.
 #[derive(Debug, Clone)]
 pub enum Scenario {
-    /// Of brokers and leaves.
+    /// Queries at brokers and leaves.
     Serving(serving::Scenario),
-    /// Of brokers that serve routes, and leaves.
+    /// Route requests at brokers and leaves.
     Routes(routes::Scenario),
-    /// Of control machines, brokers that follow them, and operators.
+    /// Control machines, brokers that follow them, and operators.
     Control(control::Scenario),
 }
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Hash over the trace.
+    /// Hash of the trace, to compare runs.
     pub trace_hash: u64,
-    /// Broken promises, in words.
+    /// Debug representation of each violation.
     pub violations: Vec<String>,
 }
 
@@ -33,12 +33,12 @@
         serving.chain(routes).chain(control).collect()
     }
 
-    /// The scenario of this name.
+    /// Finds a scenario by name.
     pub fn named(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|scenario| scenario.name() == name)
     }
 
-    /// Name, as the command line takes it; a pair has both names.
+    /// Scenario name. A pair has the names of both scenarios.
     pub fn name(&self) -> String {
         match self {
             Self::Serving(scenario) => scenario.name(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Flags of the command line that choose this scenario.
+    /// Command-line flags that select this scenario.
     pub fn flags(&self) -> String {
         let name = self.name();
         let names = ["--scenario", "--with"].into_iter().zip(name.split(" + "));
@@ -55,7 +55,7 @@
         words.join(" ")
     }
 
-    /// This scenario with the faults of another one too; none when they are of different tiers.
+    /// Combines the faults of two scenarios. Returns `None` if they belong to different tiers.
     pub fn with(&self, other: &Self) -> Option<Self> {
         match (self, other) {
             (Self::Serving(one), Self::Serving(other)) => Some(Self::Serving(one.with(other))),
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Runs the scenario with the faults of this seed.
+    /// Runs the scenario with the faults for `seed`.
     ///
     /// # Errors
-    /// A [`ClockError`] when the code under simulation panics.
+    /// Returns a [`ClockError`] if the code under simulation panics.
     pub fn run(&self, seed: u64, print_trace: bool) -> Result<Report, ClockError> {
         match self {
             Self::Serving(scenario) => {
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,23 +1,23 @@
-//! What happened in a run: key=value lines and a hash over all of them.
+//! Trace of a run: key=value lines and their hash.
 
 use std::fmt;
 
 use gingerkeel_domain::time::Timestamp;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Collects a hash of every line, and the lines themselves if they are wanted.
+/// Hashes all lines, and prints them if enabled.
 pub struct Trace {
     hasher: Xxh3Default,
     print: bool,
 }
 
 impl Trace {
-    /// A trace; `print` writes each line to standard output.
+    /// Creates a trace. `print` enables output of each line to standard output.
     pub fn new(print: bool) -> Self {
         Self { hasher: Xxh3Default::new(), print }
     }
 
-    /// Records one line.
+    /// Adds a line with the time `now`.
     pub fn record(&mut self, now: Timestamp, line: fmt::Arguments<'_>) {
         let line = format!("t={} {line}\n", now.as_micros());
         self.hasher.update(line.as_bytes());
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Hash over all lines so far.
+    /// Hash of all lines recorded so far.
     pub fn hash(&self) -> u64 {
         self.hasher.digest()
     }
--- a/crates/simulation/src/virtual_clock.rs
+++ b/crates/simulation/src/virtual_clock.rs
@@ -1,7 +1,7 @@
-//! A virtual clock over nexosim: one world, one thread, events in order of time.
+//! Discrete-event simulation of a single world on nexosim, on one thread.
 //!
-//! nexosim keeps the queue of events and the time. What an event carries stays in a slab of the
-//! driver, since nexosim's own event arguments have to be serializable.
+//! nexosim maintains the event queue and the time. The events are stored in a slab of the driver,
+//! since event arguments of nexosim must be serializable.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use slab::Slab;
 
-/// Shortest delay of an event: the clock has to move on, as a real one does.
+/// Minimum delay of an event, so that time always advances.
 const MINIMUM_DELAY: Duration = Duration::from_micros(1);
 
 quick_error! {
-    /// The clock stopped for a reason of its own.
+    /// Error of the simulation itself.
     #[derive(Debug)]
     pub enum ClockError {
         /// The simulation could not be set up.
@@ -28,25 +28,25 @@
             source(error)
             display("the simulation cannot be set up ({error}): report the seed")
         }
-        /// An event could not be carried out; a panic of the world counts here too.
+        /// An event could not be executed, for example because the world panicked.
         Execution(error: ExecutionError) {
             from()
             source(error)
-            display("the simulation stopped ({error}): replay the seed with --trace")
+            display("the simulation stopped ({error}): replay the seed with --seed")
         }
     }
 }
 
-/// Everything that is simulated.
+/// State and behavior of a simulated system.
 pub trait World: Send + 'static {
-    /// What happens in it.
+    /// Event type.
     type Event: Send + 'static;
 
-    /// Handles one event and schedules what follows from it.
+    /// Handles one event and schedules further events.
     fn handle(&mut self, now: Timestamp, event: Self::Event, schedule: &mut Schedule<Self::Event>);
 }
 
-/// Events to come, as delays from now.
+/// Events to schedule, with their delays from the current time.
 #[derive(Debug)]
 pub struct Schedule<E> {
     entries: Vec<(Duration, E)>,
@@ -59,16 +59,16 @@
 }
 
 impl<E> Schedule<E> {
-    /// Schedules an event; it comes at least one microsecond from now.
+    /// Schedules an event after `delay`, or after one microsecond if `delay` is shorter.
     pub fn after(&mut self, delay: Duration, event: E) {
         self.entries.push((delay.max(MINIMUM_DELAY), event));
     }
 }
 
-/// Runs `world` from the origin of time until `end`, starting with the events of `start`.
+/// Runs `world` from time zero until `end`, with `start` as its initial events.
 ///
 /// # Errors
-/// A [`ClockError`] when the world panics.
+/// Returns a [`ClockError`] if the world panics.
 pub fn run<W: World>(world: W, start: Schedule<W::Event>, end: Duration) -> Result<W, ClockError> {
     let driver = Arc::new(Mutex::new(Driver { world, pending: Slab::new() }));
     let pulse = UnbuiltPulse { driver: driver.clone() };
@@ -86,7 +86,7 @@
     Ok(driver.into_inner().unwrap_or_else(PoisonError::into_inner).world)
 }
 
-/// A stored event and its delay in nanoseconds, in a form that nexosim can carry.
+/// Serializable key of a stored event, with its delay in nanoseconds.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct Key {
     slot: usize,
@@ -111,7 +111,7 @@
     }
 }
 
-/// A driver whose world is not named, so that the model needs no type parameter.
+/// Type-erased driver, so that the model needs no type parameter.
 trait Step: Send {
     fn step(&self, now: Timestamp, slot: usize) -> Vec<Key>;
 }
@@ -134,7 +134,7 @@
     driver: Arc<dyn Step + Sync>,
 }
 
-/// The model with the environment that it will have.
+/// Prototype of the model with its environment.
 struct UnbuiltPulse {
     driver: Arc<dyn Step + Sync>,
 }
@@ -147,13 +147,13 @@
     }
 }
 
-/// The one model of the simulation; all state is in its environment.
+/// The only model of the simulation. All state is in its environment.
 #[derive(Serialize, Deserialize)]
 struct Pulse;
 
 #[Model(type Env = Environment)]
 impl Pulse {
-    /// Schedules an event that was stored before the simulation began.
+    /// Schedules an initial event.
     fn start(&mut self, key: Key, context: &Context<Self>) {
         schedule_key(key, context);
     }
