--- a/crates/simulation/tests/control.rs
+++ b/crates/simulation/tests/control.rs
@@ -1,11 +1,11 @@
-//! The promises of the control tier under each failure, and the mutants that must break them.
+//! Guarantees of the control tier under each fault, and mutants that must violate them.
 
 use gingerkeel_simulation::control::{Fault, Mutant, Outcome, Scenario, Violation, run_scenario};
 use rstest::rstest;
 
-/// Seeds of each scenario; the command line runs more.
+/// Seeds per scenario; use `gingerkeel-simulate` for more.
 const SEEDS: std::ops::Range<u64> = 0..20;
-/// Seeds among which one has to find what a mutant breaks.
+/// Seeds per mutant, at least one of which must lead to a violation.
 const MUTANT_SEEDS: std::ops::Range<u64> = 0..60;
 
 fn run(name: &str, seed: u64, mutant: Option<Mutant>) -> Outcome {
@@ -15,7 +15,7 @@
 }
 
 #[rstest]
-fn promises_hold(
+fn guarantees_hold(
     #[values(
         "control-calm",
         "control-killed-in-turn",
@@ -57,14 +57,14 @@
 #[rstest]
 #[case::few("control-calm", 80)]
 #[case::hundreds("restart-after-hundreds", 500)]
-fn runs_change_much(#[case] name: &str, #[case] least: u64) {
+fn runs_accept_many_changes(#[case] name: &str, #[case] least: u64) {
     let outcome = run(name, 1, None);
     let newest = outcome.history.final_states[0].catalog.revision().0;
     assert!(newest >= least, "{newest} changes");
 }
 
 #[test]
-fn calm_brokers_serve_nearly_always() {
+fn brokers_serve_nearly_always_without_faults() {
     let samples = run("control-calm", 1, None).history.samples;
     let after_start = samples.iter().filter(|sample| sample.at.as_micros() > 3_000_000);
     let all = after_start.clone().count();
@@ -73,10 +73,10 @@
     assert!(serving * 100 > all * 99, "{serving} of {all} serve");
 }
 
-/// What a cut between the regions costs: the side without a quorum stops serving when its leases
-/// run out, which is the price of the promise that what is accepted is in force everywhere.
+/// In a partition between the regions, the side without a quorum stops serving when its leases
+/// expire. Otherwise, an accepted change would not be in force at every serving broker.
 #[test]
-fn side_without_a_quorum_stops_serving_in_a_cut() {
+fn side_without_a_quorum_stops_serving_in_a_partition() {
     let samples = run("regions-cut", 1, None).history.samples;
     let stopped = |north: bool| {
         samples.iter().any(|sample| {
@@ -113,7 +113,7 @@
     }
 }
 
-/// A rule that is switched off breaks its promise in some seed of the scenario that needs it.
+/// Each mutant leads to a violation for at least one seed.
 #[rstest]
 #[case::confirmed_grants(Mutant::UnconfirmedGrants, "control-cut-from-peers", &["not in force"])]
 #[case::lease(Mutant::LeaseIgnored, "regions-cut", &["not in force"])]
@@ -130,7 +130,7 @@
     "disk-lost-after-cut",
     &["states diverge", "accepted lost"]
 )]
-fn rule_switched_off_breaks_its_promise(
+fn mutant_violates_the_guarantee(
     #[case] mutant: Mutant,
     #[case] scenario: &str,
     #[case] expected: &[&str],
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn faults_of_a_seed_are_those_that_are_replayed() {
+fn a_seed_always_gives_the_same_faults() {
     let scenario = Scenario::named("disk-lost").expect("the scenario exists");
     let faults = scenario.faults(3);
     assert_eq!(faults, scenario.faults(3));
--- a/crates/simulation/tests/control_schedules.rs
+++ b/crates/simulation/tests/control_schedules.rs
@@ -1,5 +1,5 @@
-//! Schedules of faults of the control tier generated at random; a failing one is shrunk to the
-//! faults that matter.
+//! Randomly generated fault schedules for the control tier. proptest shrinks a failing schedule to
+//! the relevant faults.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Schedules that are tried.
+/// Number of generated schedules.
 const CASES: u32 = 60;
-/// Mean time between an operator's own changes.
+/// Mean interval between independent changes of an operator.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(400);
 
 fn machine() -> impl Strategy<Value = MachineIndex> {
@@ -21,7 +21,8 @@
     (0usize..6).prop_map(BrokerIndex)
 }
 
-/// At most one disk is lost in a run: a second one before the repair is done may be one too many.
+/// All faults except the loss of a disk. A run has at most one of those, since a second one before
+/// the first has been repaired may exceed the fault tolerance.
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         machine().prop_map(Fault::Kill),
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn promises_hold_under_any_schedule() {
+fn guarantees_hold_under_any_schedule() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
--- a/crates/simulation/tests/freshness.rs
+++ b/crates/simulation/tests/freshness.rs
@@ -1,7 +1,8 @@
-//! What a broker does when its lease runs out: each way, over cuts of a region and freezes.
+//! Compares two policies for brokers with an expired lease, refusing queries or serving stale data,
+//! during partitions of a region and pauses of control processes.
 //!
-//! Brokers are [`FollowerState`]s on a virtual clock; the control tier is one accepted revision
-//! that is reachable or not. Every tenth of a second each broker would start a query.
+//! Brokers are [`FollowerState`]s on a virtual clock. The control tier is a single accepted
+//! revision, reachable or not. Each broker starts a query every 100 ms.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -23,7 +24,7 @@
 const QUERY_EVERY: u64 = 100;
 const CHANGE_EVERY: u64 = 2_000;
 
-/// A message on its way to a broker.
+/// A message in transit to a broker.
 struct Delivery {
     due: u64,
     event: FollowerEvent,
@@ -35,8 +36,8 @@
     reconnect_at: Option<u64>,
 }
 
-/// Milliseconds between the acceptance of a change and the last query that was started without
-/// it, and the queries that each way refused.
+/// Maximum time in milliseconds between the acceptance of a change and a query started without it,
+/// for each policy, and the number of refused queries.
 #[derive(Default, Clone, Copy)]
 struct Figures {
     worst_refusing: u64,
@@ -73,7 +74,7 @@
             catalog.apply(&change(accepted_at.len() as u64)).unwrap();
             accepted_at.push(now);
         }
-        // Half of the brokers are in the region that is cut off.
+        // Half of the brokers are in the partitioned region.
         let cut = (cut_from..cut_until).contains(&now);
         for (number, broker) in brokers.iter_mut().enumerate() {
             let reachable = !(cut && number < BROKERS / 2);
@@ -103,7 +104,7 @@
     for effect in effects {
         match effect {
             FollowerEffect::Renew { ticket, .. } if reachable => {
-                // A frozen control process holds answers up, now and then for seconds.
+                // Some responses are delayed by seconds, as by a paused control process.
                 let freeze = if random.random_bool(0.01) { 3_000 } else { 0 };
                 let last = broker.inbox.back().map_or(0, |delivery| delivery.due);
                 let due = (now + random.random_range(20..60) + freeze).max(last);
@@ -115,7 +116,7 @@
                 broker.inbox.push_back(Delivery { due, event: FollowerEvent::Granted(grant) });
             }
             FollowerEffect::GiveUp(_) => {
-                // What was on its way on the link is lost with it.
+                // Messages in transit are lost with the connection.
                 broker.inbox.clear();
                 broker.reconnect_at = Some(now + random.random_range(10..500));
             }
--- a/crates/simulation/tests/routes.rs
+++ b/crates/simulation/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The promises of the serving of routes under each failure, and the mutants that must break them.
+//! Guarantees of route serving under each fault, and mutants that must violate them.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 };
 use rstest::rstest;
 
-/// Seeds of each scenario; the command line runs more.
+/// Seeds per scenario; use `gingerkeel-simulate` for more.
 const SEEDS: std::ops::Range<u64> = 0..8;
 
 fn run(name: &str, seed: u64, mutant: Option<Mutant>) -> Outcome {
@@ -16,7 +16,7 @@
 }
 
 #[rstest]
-fn promises_hold(
+fn guarantees_hold(
     #[values(
         "routes-calm",
         "routes-slow-leaf",
@@ -49,7 +49,7 @@
 }
 
 #[rstest]
-fn promises_hold_under_pairs_of_failures(#[values(0, 1)] seed: u64) {
+fn guarantees_hold_under_pairs_of_faults(#[values(0, 1)] seed: u64) {
     let all = Scenario::all();
     for (place, first) in all.iter().enumerate() {
         for second in &all[place..] {
@@ -74,21 +74,21 @@
     matches!(ending, Ending::Answered(parts) if parts.len() == 5)
 }
 
-/// Least share of requests that are answered whole.
+/// The share of requests with a complete answer exceeds `least`.
 #[rstest]
 #[case::calm("routes-calm", 0.98)]
 #[case::slow_leaf("routes-slow-leaf", 0.96)]
 #[case::leaf_down("routes-leaf-down", 0.97)]
 #[case::leaf_dark("routes-leaf-dark", 0.95)]
 #[case::leaving("routes-leaving", 0.98)]
-fn nearly_all_is_answered_whole(#[case] scenario: &str, #[case] least: f64) {
+fn nearly_all_answers_are_complete(#[case] scenario: &str, #[case] least: f64) {
     for seed in SEEDS {
         let answered = share(&run(scenario, seed, None).history, whole);
         assert!(answered > least, "{scenario}, seed {seed}: {answered}");
     }
 }
 
-/// The scenarios cause what they are there for.
+/// Each scenario leads to the responses for which it is intended.
 #[rstest]
 #[case::parts_missing("routes-shard-dark", lacks_a_part)]
 #[case::refused("routes-single-service-down", |ending: &Ending| *ending == Ending::NotRun)]
@@ -119,7 +119,7 @@
     }
 }
 
-/// A rule that is switched off breaks its promise in some seed of the scenario that needs it.
+/// Each mutant leads to the expected violation for at least one seed.
 #[rstest]
 #[case::budget_of_retries(Mutant::BudgetIgnored, "routes-failures", "over budget")]
 #[case::budget_of_hedges(Mutant::BudgetIgnored, "routes-addresses-taken", "over budget")]
@@ -129,7 +129,7 @@
 #[case::not_run(Mutant::UnknownSaidNotRun, "routes-answers-lost", "not run was run")]
 #[case::ended_leaves(Mutant::EndedLeavesUnnoticed, "routes-addresses-taken", "over budget")]
 #[case::deadline(Mutant::DeadlineUnheard, "routes-shard-dark", "not one ending")]
-fn rule_switched_off_breaks_its_promise(
+fn mutant_violates_the_guarantee(
     #[case] mutant: Mutant,
     #[case] scenario: &str,
     #[case] expected: &str,
--- a/crates/simulation/tests/schedules.rs
+++ b/crates/simulation/tests/schedules.rs
@@ -1,4 +1,5 @@
-//! Schedules of faults generated at random; a failing one is shrunk to the faults that matter.
+//! Randomly generated fault schedules for the serving tier. proptest shrinks a failing schedule to
+//! the relevant faults.
 
 use std::time::Duration;
 
@@ -8,9 +9,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Schedules that are tried.
+/// Number of generated schedules.
 const CASES: u32 = 40;
-/// Load of the runs, as a multiple of half the capacity.
+/// Loads of the runs, as multiples of half the capacity.
 const LOADS: [f64; 3] = [0.5, 1.0, 4.0];
 
 fn leaf() -> impl Strategy<Value = LeafId> {
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn promises_hold_under_any_schedule() {
+fn guarantees_hold_under_any_schedule() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, random);
--- a/crates/simulation/tests/serving.rs
+++ b/crates/simulation/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The promises of the serving tier under each failure, and the mutants that must break them.
+//! Guarantees of the serving tier under each fault, and mutants that must violate them.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 use rstest::rstest;
 
-/// Seeds of each scenario; the command line runs more.
+/// Seeds per scenario; use `gingerkeel-simulate` for more.
 const SEEDS: std::ops::Range<u64> = 0..8;
 
 fn run(name: &str, seed: u64, mutant: Option<Mutant>) -> Outcome {
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn promises_hold(
+fn guarantees_hold(
     #[values(
         "calm",
         "straggler",
@@ -71,14 +71,15 @@
     }
 }
 
-/// In these runs a broker sent a leaf nothing for seconds and did not hear that it leaves.
+/// Regression test: with these seeds, a broker sent no requests to a draining leaf for seconds and
+/// therefore did not learn of the drain.
 #[rstest]
-fn leaf_that_got_no_work_for_long_is_known_to_leave(#[values(22, 43, 64)] seed: u64) {
+fn drain_of_an_idle_leaf_is_detected(#[values(22, 43, 64)] seed: u64) {
     assert_eq!(run("drain-by-leaf", seed, None).violations, Vec::new());
 }
 
 #[test]
-fn calm_run_answers_nearly_everything_whole() {
+fn nearly_all_answers_are_complete_without_faults() {
     let outcome = run("calm", 1, None);
     assert!(outcome.history.queries.len() > 1000);
     assert!(answered_share(&outcome.history) > 0.97);
@@ -101,7 +102,7 @@
     move |outcome| matches!(outcome, QueryOutcome::NotRun { reason: found, .. } if *found == reason)
 }
 
-/// The scenarios cause what they are there for.
+/// Each scenario leads to the refusals for which it is intended.
 #[rstest]
 #[case::evicted("short-queues", RefusalReason::Evicted)]
 #[case::queue_full("short-queues", RefusalReason::QueueFull)]
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn resent_queries_get_answers_and_astray_ones_are_told_that_nothing_is_known() {
+fn retries_at_another_broker_are_unrecorded() {
     let outcome = run("resent-keys", 1, None);
     let keyed = outcome.history.queries.values().filter(|record| record.submission.key.is_some());
     assert!(keyed.count() > 100);
@@ -145,7 +146,7 @@
     }
 }
 
-/// A rule that is switched off breaks its promise in some seed of the scenario that needs it.
+/// Each mutant leads to the expected violation for at least one seed.
 #[rstest]
 #[case::at_most_once(Mutant::EveryQueryRepeatable, "replica-lost", "ran twice")]
 #[case::snapshot(Mutant::EveryReplyOfSnapshot, "wrong-version", "mixed snapshot")]
@@ -165,7 +166,7 @@
 #[case::charged_once(Mutant::KeysIgnored, "resent-keys", "false charge")]
 #[case::budgets(Mutant::BudgetUnheard, "budget-cut", "over budget")]
 #[case::threshold(Mutant::ThresholdUnheard, "threshold", "below threshold")]
-fn rule_switched_off_breaks_its_promise(
+fn mutant_violates_the_guarantee(
     #[case] mutant: Mutant,
     #[case] scenario: &str,
     #[case] expected: &str,
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn faults_of_a_seed_are_those_that_are_replayed() {
+fn a_seed_always_gives_the_same_faults() {
     let scenario = Scenario::named("straggler").expect("the scenario exists");
     let faults = scenario.faults(3);
     assert_eq!(faults, scenario.faults(3));
