--- a/crates/control/src/native_routes.rs
+++ b/crates/control/src/native_routes.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use gingerkeel_domain::identifiers::{ServiceName, SoftwareVersion, ZoneName};
 use gingerkeel_domain::routes::AcceptedRoutes;
-use gingerkeel_transport::{HttpRequest, HttpResponse, json_answer, text_answer};
+use gingerkeel_transport::{HttpRequest, HttpResponse, json_response, text_response};
 use http::{Method, StatusCode};
 use serde::Deserialize;
 
@@ -56,14 +56,16 @@
     fn answer(&self, answer: RouteAnswer<'_>) -> HttpResponse {
         match answer {
             RouteAnswer::Accepted(version) => {
-                json_answer(StatusCode::OK, format!("{{\"accepted\":{}}}", version.0))
+                json_response(StatusCode::OK, format!("{{\"accepted\":{}}}", version.0))
+            }
+            RouteAnswer::Current(routes) => json_response(StatusCode::OK, routes.document.clone()),
+            RouteAnswer::Empty => {
+                text_response(StatusCode::NOT_FOUND, "no routes were accepted yet")
             }
-            RouteAnswer::Current(routes) => json_answer(StatusCode::OK, routes.document.clone()),
-            RouteAnswer::Empty => text_answer(StatusCode::NOT_FOUND, "no routes were accepted yet"),
             RouteAnswer::ZoneOrdered | RouteAnswer::RolloutOrdered => {
-                json_answer(StatusCode::OK, "{\"accepted\":true}")
+                json_response(StatusCode::OK, "{\"accepted\":true}")
             }
-            RouteAnswer::Rollout(rollout) => json_answer(
+            RouteAnswer::Rollout(rollout) => json_response(
                 StatusCode::OK,
                 serde_json::json!({
                     "version": rollout.order.target.as_str(),
@@ -72,14 +74,14 @@
                 .to_string(),
             ),
             RouteAnswer::NoRollout => {
-                text_answer(StatusCode::NOT_FOUND, "the service was never rolled out")
+                text_response(StatusCode::NOT_FOUND, "the service was never rolled out")
             }
-            RouteAnswer::Conflict(reason) => text_answer(StatusCode::CONFLICT, &reason),
-            RouteAnswer::Invalid(reason) => text_answer(StatusCode::BAD_REQUEST, &reason),
+            RouteAnswer::Conflict(reason) => text_response(StatusCode::CONFLICT, &reason),
+            RouteAnswer::Invalid(reason) => text_response(StatusCode::BAD_REQUEST, &reason),
             RouteAnswer::Unavailable(reason) => {
-                text_answer(StatusCode::SERVICE_UNAVAILABLE, &reason)
+                text_response(StatusCode::SERVICE_UNAVAILABLE, &reason)
             }
-            RouteAnswer::Unknown => text_answer(
+            RouteAnswer::Unknown => text_response(
                 StatusCode::NOT_FOUND,
                 "unknown call: use GET or PUT of /v1/routes, PUT or DELETE of /v1/evacuations/ZONE, \
                  or GET or PUT of /v1/rollouts/SERVICE",
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -3,7 +3,6 @@
 //! A [`ServerConnection`] reads requests of bounded size one at a time and writes a response to
 //! each; a [`ClientConnection`] does the reverse. Both own their socket.
 
-mod answers;
 mod client;
 mod clock;
 mod error;
@@ -12,10 +11,10 @@
 mod limits;
 mod listener;
 mod message;
+mod responses;
 mod runtime;
 mod server;
 
-pub use answers::{json_answer, text_answer};
 pub use client::{ClientConnection, RequestWriter, ResponseReader};
 pub use clock::Clock;
 pub use error::TransportError;
@@ -23,5 +22,6 @@
 pub use limits::Limits;
 pub use listener::listen;
 pub use message::{HttpRequest, HttpResponse};
+pub use responses::{json_response, text_response};
 pub use runtime::{block_on, build_runtime};
 pub use server::{RequestReader, ResponseWriter, ServerConnection};
--- a/crates/transport/src/answers.rs
+++ b/crates/transport/src/responses.rs
@@ -7,14 +7,14 @@
 use crate::message::HttpResponse;
 
 /// An answer in words.
-pub fn text_answer(status: StatusCode, text: &str) -> HttpResponse {
+pub fn text_response(status: StatusCode, text: &str) -> HttpResponse {
     let mut response = HttpResponse::new(Bytes::copy_from_slice(text.as_bytes()));
     *response.status_mut() = status;
     response
 }
 
 /// An answer in JSON.
-pub fn json_answer(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
+pub fn json_response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
     let mut response = HttpResponse::new(body.into());
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
