--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -325,7 +325,7 @@
                 *decoder = BodyDecoder::new(BodyFraming::None);
                 break;
             }
-            Err(ReadError::Fault(_)) => return Err(AttemptError::Unusable),
+            Err(ReadError::Head(_)) => return Err(AttemptError::Unusable),
             Err(_) => return Err(AttemptError::Lost),
         }
         if decoder.is_done() {
--- a/crates/broker/src/routes/callers.rs
+++ b/crates/broker/src/routes/callers.rs
@@ -9,7 +9,7 @@
 use gingerkeel_domain::routes::CallerLimits;
 use gingerkeel_domain::time::Timestamp;
 use gingerkeel_transport::http1::{
-    BodyDecoder, BodyFraming, HeadFault, HttpReader, ReadError, RequestHead, request_framing,
+    BodyDecoder, BodyFraming, HeadError, HttpReader, ReadError, RequestHead, request_framing,
 };
 use monoio::io::{AsyncWriteRent, AsyncWriteRentExt, OwnedWriteHalf, Splitable};
 use monoio::net::{TcpListener, TcpStream};
@@ -361,8 +361,8 @@
 
 fn connection_end(error: &ReadError) -> ConnectionEnd {
     match error {
-        ReadError::Fault(HeadFault::TooLarge(_)) => ConnectionEnd::Refused(Refusal::HeadTooLarge),
-        ReadError::Fault(_) => ConnectionEnd::Refused(Refusal::Malformed),
+        ReadError::Head(HeadError::TooLarge(_)) => ConnectionEnd::Refused(Refusal::HeadTooLarge),
+        ReadError::Head(_) => ConnectionEnd::Refused(Refusal::Malformed),
         ReadError::Socket(_) | ReadError::CutShort => ConnectionEnd::Closed,
     }
 }
--- a/crates/transport/src/http1/body.rs
+++ b/crates/transport/src/http1/body.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 use super::framing::BodyFraming;
-use super::head::HeadFault;
+use super::head::HeadError;
 
 /// Longest line that gives the size of a chunk, or of a trailer.
 const LINE_LIMIT: usize = 4 * 1024;
@@ -50,8 +50,8 @@
     /// The next piece; none when more bytes are needed, or the body is done.
     ///
     /// # Errors
-    /// A [`HeadFault`] when the chunks are malformed.
-    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadFault> {
+    /// A [`HeadError`] when the chunks are malformed.
+    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadError> {
         loop {
             match self.state {
                 State::Done => return Ok(None),
@@ -91,7 +91,7 @@
     }
 }
 
-fn chunk_state(line: &[u8]) -> Result<State, HeadFault> {
+fn chunk_state(line: &[u8]) -> Result<State, HeadError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let hexadecimal = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).map_err(|_| malformed("size of a chunk"))?;
@@ -110,7 +110,7 @@
     Some((buffer.split_to(count as usize).freeze(), count))
 }
 
-fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadFault> {
+fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         if buffer.len() > LINE_LIMIT {
             return Err(malformed("a line without an end"));
@@ -124,6 +124,6 @@
     }
 }
 
-fn malformed(reason: &str) -> HeadFault {
-    HeadFault::Malformed(reason.to_owned())
+fn malformed(reason: &str) -> HeadError {
+    HeadError::Malformed(reason.to_owned())
 }
--- a/crates/transport/src/http1/framing.rs
+++ b/crates/transport/src/http1/framing.rs
@@ -1,6 +1,6 @@
 //! How the end of a body is known.
 
-use super::head::{HeadFault, Headers, ResponseHead};
+use super::head::{HeadError, Headers, ResponseHead};
 
 /// How the end of a body is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,10 +18,10 @@
 /// How the body of a request ends.
 ///
 /// # Errors
-/// [`HeadFault::Framing`] when two parties could disagree on it.
-pub fn request_framing(headers: &Headers) -> Result<BodyFraming, HeadFault> {
+/// [`HeadError::Framing`] when two parties could disagree on it.
+pub fn request_framing(headers: &Headers) -> Result<BodyFraming, HeadError> {
     match (is_chunked(headers)?, declared_length(headers)?) {
-        (true, Some(_)) => Err(HeadFault::Framing),
+        (true, Some(_)) => Err(HeadError::Framing),
         (true, None) => Ok(BodyFraming::Chunked),
         (false, Some(0)) | (false, None) => Ok(BodyFraming::None),
         (false, Some(length)) => Ok(BodyFraming::Length(length)),
@@ -31,14 +31,14 @@
 /// How the body of a response to a request of `method` ends.
 ///
 /// # Errors
-/// [`HeadFault::Framing`] when two parties could disagree on it.
-pub fn response_framing(method: &str, head: &ResponseHead) -> Result<BodyFraming, HeadFault> {
+/// [`HeadError::Framing`] when two parties could disagree on it.
+pub fn response_framing(method: &str, head: &ResponseHead) -> Result<BodyFraming, HeadError> {
     let bodiless = matches!(head.status, 100..=199 | 204 | 304) || method == "HEAD";
     if bodiless {
         return Ok(BodyFraming::None);
     }
     match (is_chunked(&head.headers)?, declared_length(&head.headers)?) {
-        (true, Some(_)) => Err(HeadFault::Framing),
+        (true, Some(_)) => Err(HeadError::Framing),
         (true, None) => Ok(BodyFraming::Chunked),
         (false, Some(0)) => Ok(BodyFraming::None),
         (false, Some(length)) => Ok(BodyFraming::Length(length)),
@@ -46,7 +46,7 @@
     }
 }
 
-fn is_chunked(headers: &Headers) -> Result<bool, HeadFault> {
+fn is_chunked(headers: &Headers) -> Result<bool, HeadError> {
     let mut encodings = headers.all("transfer-encoding");
     let Some(encoding) = encodings.next() else {
         return Ok(false);
@@ -55,18 +55,18 @@
     if only && encoding.trim_ascii().eq_ignore_ascii_case(b"chunked") {
         Ok(true)
     } else {
-        Err(HeadFault::Framing)
+        Err(HeadError::Framing)
     }
 }
 
-fn declared_length(headers: &Headers) -> Result<Option<u64>, HeadFault> {
+fn declared_length(headers: &Headers) -> Result<Option<u64>, HeadError> {
     let mut lengths = headers.all("content-length");
     let Some(length) = lengths.next() else {
         return Ok(None);
     };
     if lengths.next().is_some() || length.is_empty() || !length.iter().all(u8::is_ascii_digit) {
-        return Err(HeadFault::Framing);
+        return Err(HeadError::Framing);
     }
-    let text = std::str::from_utf8(length).map_err(|_| HeadFault::Framing)?;
-    text.parse().map(Some).map_err(|_| HeadFault::Framing)
+    let text = std::str::from_utf8(length).map_err(|_| HeadError::Framing)?;
+    text.parse().map(Some).map_err(|_| HeadError::Framing)
 }
--- a/crates/transport/src/http1/head.rs
+++ b/crates/transport/src/http1/head.rs
@@ -14,7 +14,7 @@
 quick_error! {
     /// A head that is not valid.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum HeadFault {
+    pub enum HeadError {
         /// It is no HTTP/1.1.
         Malformed(reason: String) {
             display("not a valid HTTP/1.1 head ({reason}): check the sender")
@@ -164,11 +164,11 @@
 /// Takes the head of a request off the front of `buffer`; none when it is not whole.
 ///
 /// # Errors
-/// A [`HeadFault`] when it is not valid or exceeds `limit` bytes.
+/// A [`HeadError`] when it is not valid or exceeds `limit` bytes.
 pub fn parse_request(
     buffer: &mut BytesMut,
     limit: usize,
-) -> Result<Option<RequestHead>, HeadFault> {
+) -> Result<Option<RequestHead>, HeadError> {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_LIMIT];
     let mut parsed = httparse::Request::new(&mut []);
     let length = match parsed.parse_with_uninit_headers(buffer, &mut fields) {
@@ -188,11 +188,11 @@
 /// Takes the head of a response off the front of `buffer`; none when it is not whole.
 ///
 /// # Errors
-/// A [`HeadFault`] when it is not valid or exceeds `limit` bytes.
+/// A [`HeadError`] when it is not valid or exceeds `limit` bytes.
 pub fn parse_response(
     buffer: &mut BytesMut,
     limit: usize,
-) -> Result<Option<ResponseHead>, HeadFault> {
+) -> Result<Option<ResponseHead>, HeadError> {
     let mut fields = [const { MaybeUninit::uninit() }; HEADER_LIMIT];
     let mut parsed = httparse::Response::new(&mut []);
     let config = httparse::ParserConfig::default();
@@ -209,19 +209,19 @@
     Ok(Some(ResponseHead { status, is_http_10, headers }))
 }
 
-fn incomplete<T>(buffered: usize, limit: usize) -> Result<Option<T>, HeadFault> {
+fn incomplete<T>(buffered: usize, limit: usize) -> Result<Option<T>, HeadError> {
     check_length(buffered, limit)?;
     Ok(None)
 }
 
-fn check_length(length: usize, limit: usize) -> Result<(), HeadFault> {
-    if length > limit { Err(HeadFault::TooLarge(limit)) } else { Ok(()) }
+fn check_length(length: usize, limit: usize) -> Result<(), HeadError> {
+    if length > limit { Err(HeadError::TooLarge(limit)) } else { Ok(()) }
 }
 
-fn fault(error: httparse::Error, limit: usize) -> HeadFault {
+fn fault(error: httparse::Error, limit: usize) -> HeadError {
     match error {
-        httparse::Error::TooManyHeaders => HeadFault::TooLarge(limit),
-        error => HeadFault::Malformed(error.to_string()),
+        httparse::Error::TooManyHeaders => HeadError::TooLarge(limit),
+        error => HeadError::Malformed(error.to_string()),
     }
 }
 
--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -11,5 +11,5 @@
 
 pub use body::BodyDecoder;
 pub use framing::{BodyFraming, request_framing, response_framing};
-pub use head::{HeadFault, Headers, RequestHead, ResponseHead, parse_request, parse_response};
+pub use head::{HeadError, Headers, RequestHead, ResponseHead, parse_request, parse_response};
 pub use reader::{HttpReader, ReadError};
--- a/crates/transport/src/http1/reader.rs
+++ b/crates/transport/src/http1/reader.rs
@@ -9,7 +9,7 @@
 use quick_error::quick_error;
 
 use super::body::BodyDecoder;
-use super::head::{HeadFault, RequestHead, ResponseHead, parse_request, parse_response};
+use super::head::{HeadError, RequestHead, ResponseHead, parse_request, parse_response};
 
 /// Bytes that are read at once.
 const READ_BYTES: usize = 4 * 1024;
@@ -52,9 +52,9 @@
             display("the connection closed within a message: send the request again if it may be repeated")
         }
         /// The message is not valid.
-        Fault(fault: HeadFault) {
+        Head(error: HeadError) {
             from()
-            display("{fault}")
+            display("{error}")
         }
     }
 }
--- a/crates/transport/tests/http1.rs
+++ b/crates/transport/tests/http1.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use gingerkeel_transport::http1::{
-    BodyDecoder, BodyFraming, HeadFault, Headers, RequestHead, parse_request, parse_response,
+    BodyDecoder, BodyFraming, HeadError, Headers, RequestHead, parse_request, parse_response,
     request_framing, response_framing,
 };
 use rstest::rstest;
@@ -37,7 +37,7 @@
     assert_eq!(parse_request(&mut partial, LIMIT), Ok(None));
     let large = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(LIMIT));
     let refused = parse_request(&mut BytesMut::from(large.as_str()), LIMIT);
-    assert_eq!(refused, Err(HeadFault::TooLarge(LIMIT)));
+    assert_eq!(refused, Err(HeadError::TooLarge(LIMIT)));
 }
 
 #[rstest]
@@ -46,7 +46,7 @@
 #[case("GET / HTTP/9.9\r\n\r\n")]
 fn what_is_no_head_is_refused(#[case] text: &str) {
     let parsed = parse_request(&mut BytesMut::from(text), LIMIT);
-    assert!(matches!(parsed, Err(HeadFault::Malformed(_))), "{parsed:?}");
+    assert!(matches!(parsed, Err(HeadError::Malformed(_))), "{parsed:?}");
 }
 
 #[rstest]
@@ -54,15 +54,15 @@
 #[case("Content-Length: 0\r\n", Ok(BodyFraming::None))]
 #[case("Content-Length: 12\r\n", Ok(BodyFraming::Length(12)))]
 #[case("Transfer-Encoding: Chunked\r\n", Ok(BodyFraming::Chunked))]
-#[case("Content-Length: 1\r\nContent-Length: 1\r\n", Err(HeadFault::Framing))]
-#[case("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", Err(HeadFault::Framing))]
-#[case("Transfer-Encoding: gzip, chunked\r\n", Err(HeadFault::Framing))]
-#[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Err(HeadFault::Framing))]
-#[case("Content-Length: +1\r\n", Err(HeadFault::Framing))]
-#[case("Content-Length: 99999999999999999999999\r\n", Err(HeadFault::Framing))]
+#[case("Content-Length: 1\r\nContent-Length: 1\r\n", Err(HeadError::Framing))]
+#[case("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", Err(HeadError::Framing))]
+#[case("Transfer-Encoding: gzip, chunked\r\n", Err(HeadError::Framing))]
+#[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Err(HeadError::Framing))]
+#[case("Content-Length: +1\r\n", Err(HeadError::Framing))]
+#[case("Content-Length: 99999999999999999999999\r\n", Err(HeadError::Framing))]
 fn the_length_of_a_request_is_declared_once(
     #[case] fields: &str,
-    #[case] expected: Result<BodyFraming, HeadFault>,
+    #[case] expected: Result<BodyFraming, HeadError>,
 ) {
     assert_eq!(request_framing(&headers(fields)), expected);
 }
@@ -86,7 +86,7 @@
 }
 
 /// Feeds a body in pieces of `step` bytes; gives the body, or none when it did not end.
-fn decode(framing: BodyFraming, bytes: &[u8], step: usize) -> Result<Option<Vec<u8>>, HeadFault> {
+fn decode(framing: BodyFraming, bytes: &[u8], step: usize) -> Result<Option<Vec<u8>>, HeadError> {
     let mut decoder = BodyDecoder::new(framing);
     let (mut buffer, mut body) = (BytesMut::new(), Vec::new());
     for part in bytes.chunks(step) {
@@ -115,7 +115,7 @@
 #[case(b"\r\n")]
 fn malformed_chunks_are_refused(#[case] bytes: &[u8]) {
     let decoded = decode(BodyFraming::Chunked, bytes, 100);
-    assert!(matches!(decoded, Err(HeadFault::Malformed(_))), "{decoded:?}");
+    assert!(matches!(decoded, Err(HeadError::Malformed(_))), "{decoded:?}");
 }
 
 #[test]
