--- a/crates/broker/src/callers/connection.rs
+++ b/crates/broker/src/callers/connection.rs
@@ -156,7 +156,7 @@
         let status = match error {
             TransportError::HeadTooLarge(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             TransportError::BodyTooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
-            TransportError::Slow => StatusCode::REQUEST_TIMEOUT,
+            TransportError::TimedOut => StatusCode::REQUEST_TIMEOUT,
             TransportError::Malformed(_) => StatusCode::BAD_REQUEST,
             TransportError::CutShort | TransportError::Socket(_) => return,
         };
@@ -168,7 +168,9 @@
 
     async fn respond(&mut self, response: HttpResponse) -> Result<(), TransportError> {
         let writing = self.writer.respond(response);
-        timeout(self.bounds.limits.message_time, writing).await.map_err(|_| TransportError::Slow)?
+        timeout(self.bounds.limits.message_time, writing)
+            .await
+            .map_err(|_| TransportError::TimedOut)?
     }
 
     /// Ends the connection so that the caller can read its answer although it still sends.
--- a/crates/rehearsal/src/load/connections.rs
+++ b/crates/rehearsal/src/load/connections.rs
@@ -59,7 +59,7 @@
         let limits = Limits { body_bytes: ANSWER_BYTES, ..Limits::default() };
         let connecting = ClientConnection::connect(self.address, limits);
         let connection =
-            timeout(CONNECT_TIME, connecting).await.map_err(|_| TransportError::Slow)??;
+            timeout(CONNECT_TIME, connecting).await.map_err(|_| TransportError::TimedOut)??;
         let (writer, reader) = connection.into_split();
         Ok(Lease { writer, reader })
     }
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -22,7 +22,7 @@
             display("not a valid HTTP/1.1 message ({reason}): check the sender")
         }
         /// The peer did not send a whole message in time.
-        Slow {
+        TimedOut {
             display("the message did not arrive in time: send it faster, or raise the limit in the settings")
         }
         /// The peer closed the connection within a message.
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -115,7 +115,7 @@
             read_message::<_, RequestDecoder, RequestHead>(&mut self.framed, &self.limits);
         let message = timeout(self.limits.message_time, reading)
             .await
-            .map_err(|_| TransportError::Slow)??;
+            .map_err(|_| TransportError::TimedOut)??;
         Ok(message.map(|(head, body)| HttpRequest::from_parts(head, body)))
     }
 }
