--- a/crates/broker/src/callers/connection.rs
+++ b/crates/broker/src/callers/connection.rs
@@ -132,12 +132,12 @@
         let mut watching = true;
         loop {
             monoio::select! {
-                answered = &mut outcome => return answered.map_err(|_| TransportError::CutShort),
+                answered = &mut outcome => return answered.map_err(|_| TransportError::ConnectionClosed),
                 begun = self.reader.wait(), if watching => match begun {
                     Ok(true) => watching = false,
                     Ok(false) | Err(_) => {
                         let _ = self.engine.send(EngineMessage::CallerGone(query));
-                        return Err(TransportError::CutShort);
+                        return Err(TransportError::ConnectionClosed);
                     }
                 }
             }
@@ -148,7 +148,7 @@
         let (reply, issued) = oneshot::channel();
         // The engine lives as long as the process.
         let _ = self.engine.send(EngineMessage::IssueKey { caller, reply });
-        let issued = issued.await.map_err(|_| TransportError::CutShort)?;
+        let issued = issued.await.map_err(|_| TransportError::ConnectionClosed)?;
         Ok(issued.map_or_else(response::refused, |key| response::issued_key(&key)))
     }
 
@@ -158,7 +158,7 @@
             TransportError::BodyTooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
             TransportError::TimedOut => StatusCode::REQUEST_TIMEOUT,
             TransportError::Malformed(_) => StatusCode::BAD_REQUEST,
-            TransportError::CutShort | TransportError::Socket(_) => return,
+            TransportError::ConnectionClosed | TransportError::Socket(_) => return,
         };
         let response = response::last(response::transport_error(status, error));
         if self.respond(response).await.is_ok() {
--- a/crates/broker/src/routes/attempt.rs
+++ b/crates/broker/src/routes/attempt.rs
@@ -308,7 +308,7 @@
         let mut decoder = BodyDecoder::new(response_framing(method, &head)?);
         while reader.body_piece(&mut decoder).await?.is_some() {}
     }
-    Err(ReadError::CutShort)
+    Err(ReadError::ConnectionClosed)
 }
 
 /// Reads a body, or its beginning when it is long.
--- a/crates/broker/src/routes/callers.rs
+++ b/crates/broker/src/routes/callers.rs
@@ -363,7 +363,7 @@
     match error {
         ReadError::Head(HeadError::TooLarge(_)) => ConnectionEnd::Refused(Refusal::HeadTooLarge),
         ReadError::Head(_) => ConnectionEnd::Refused(Refusal::Malformed),
-        ReadError::Socket(_) | ReadError::CutShort => ConnectionEnd::Closed,
+        ReadError::Socket(_) | ReadError::ConnectionClosed => ConnectionEnd::Closed,
     }
 }
 
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -78,12 +78,12 @@
     ///
     /// # Errors
     /// A [`TransportError`] when the response is malformed, too large or cut short, and
-    /// [`TransportError::CutShort`] when the peer closed the connection.
+    /// [`TransportError::ConnectionClosed`] when the peer closed the connection.
     pub async fn receive(&mut self) -> Result<HttpResponse, TransportError> {
         let message =
             read_message::<_, ResponseDecoder, ResponseHead>(&mut self.framed, &self.limits)
                 .await?;
-        let (head, body) = message.ok_or(TransportError::CutShort)?;
+        let (head, body) = message.ok_or(TransportError::ConnectionClosed)?;
         Ok(HttpResponse::from_parts(head, body))
     }
 }
--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -26,7 +26,7 @@
             display("the message did not arrive in time: send it faster, or raise the limit in the settings")
         }
         /// The peer closed the connection within a message.
-        CutShort {
+        ConnectionClosed {
             display("the connection closed within a message: send the request again if it may be repeated")
         }
         /// The socket failed.
--- a/crates/transport/src/http1/reader.rs
+++ b/crates/transport/src/http1/reader.rs
@@ -48,7 +48,7 @@
             display("socket error ({error}): check that the peer runs and is reachable")
         }
         /// The peer closed the connection within a message.
-        CutShort {
+        ConnectionClosed {
             display("the connection closed within a message: send the request again if it may be repeated")
         }
         /// The message is not valid.
@@ -105,7 +105,7 @@
                 return Ok(Some(head));
             }
             if self.fill().await? == 0 {
-                return if self.is_empty() { Ok(None) } else { Err(ReadError::CutShort) };
+                return if self.is_empty() { Ok(None) } else { Err(ReadError::ConnectionClosed) };
             }
         }
     }
@@ -120,7 +120,7 @@
                 return Ok(head);
             }
             if self.fill().await? == 0 {
-                return Err(ReadError::CutShort);
+                return Err(ReadError::ConnectionClosed);
             }
         }
     }
@@ -128,7 +128,7 @@
     /// The next piece of a body; none once it is whole.
     ///
     /// # Errors
-    /// A [`ReadError`]; [`ReadError::CutShort`] when the connection closed before the end.
+    /// A [`ReadError`]; [`ReadError::ConnectionClosed`] when the connection closed before the end.
     pub async fn body_piece(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -142,7 +142,7 @@
             }
             if self.fill().await? == 0 {
                 let complete = decoder.ends_with_connection();
-                return if complete { Ok(None) } else { Err(ReadError::CutShort) };
+                return if complete { Ok(None) } else { Err(ReadError::ConnectionClosed) };
             }
         }
     }
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -121,15 +121,15 @@
     match body {
         PayloadDecoder::None => Ok(Bytes::new()),
         PayloadDecoder::Fixed(mut decoder) => match framed.next_with(&mut decoder).await {
-            None => Err(TransportError::CutShort),
+            None => Err(TransportError::ConnectionClosed),
             Some(Ok(bytes)) => Ok(bytes),
-            Some(Err(_)) => Err(TransportError::CutShort),
+            Some(Err(_)) => Err(TransportError::ConnectionClosed),
         },
         PayloadDecoder::Streamed(mut decoder) => {
             let mut collected = BytesMut::new();
             loop {
                 match framed.next_with(&mut decoder).await {
-                    None => return Err(TransportError::CutShort),
+                    None => return Err(TransportError::ConnectionClosed),
                     Some(Err(error)) => return Err(TransportError::Malformed(error.to_string())),
                     Some(Ok(None)) => return Ok(collected.freeze()),
                     Some(Ok(Some(chunk))) => {
