--- a/crates/broker/src/callers/connection.rs
+++ b/crates/broker/src/callers/connection.rs
@@ -20,7 +20,7 @@
 use super::request::{CallerRequest, read_request};
 use super::response;
 use crate::engine::EngineMessage;
-use crate::stop::StopSignal;
+use crate::latch::Latch;
 
 /// Time for which an idle connection takes a last request once a planned stop has begun.
 const STOP_GRACE: Duration = Duration::from_millis(250);
@@ -46,7 +46,7 @@
     writer: ResponseWriter,
     bounds: ConnectionBounds,
     engine: Tx<EngineMessage>,
-    stop: StopSignal,
+    stop: Latch,
 }
 
 /// What becomes of a connection after an answer.
@@ -63,7 +63,7 @@
         stream: TcpStream,
         bounds: ConnectionBounds,
         engine: Tx<EngineMessage>,
-        stop: StopSignal,
+        stop: Latch,
     ) -> Self {
         let (reader, writer) = ServerConnection::new(stream, bounds.limits).into_split();
         Self { number, next_query: 0, reader, writer, bounds, engine, stop }
@@ -89,7 +89,7 @@
     /// stop.
     async fn request_comes(&mut self) -> bool {
         let grace = async {
-            self.stop.given().await;
+            self.stop.wait().await;
             sleep(STOP_GRACE).await;
         };
         monoio::select! {
@@ -109,7 +109,7 @@
             Ok(CallerRequest::IssueKey(caller)) => self.issue_key(caller).await?,
             Err(error) => response::bad_request(&error),
         };
-        if last || self.stop.is_given() {
+        if last || self.stop.is_set() {
             self.respond(response::last(response)).await?;
             return Ok(After::Close);
         }
--- a/crates/broker/src/callers/mod.rs
+++ b/crates/broker/src/callers/mod.rs
@@ -16,7 +16,7 @@
 use tracing::warn;
 
 use crate::engine::EngineMessage;
-use crate::stop::StopSignal;
+use crate::latch::Latch;
 use connection::{CallerConnection, ConnectionBounds};
 use refusal::{Refuser, Unwelcome};
 
@@ -24,7 +24,7 @@
 pub struct CallerServer {
     listener: TcpListener,
     engine: Tx<EngineMessage>,
-    stop: StopSignal,
+    stop: Latch,
     limits: Limits,
     idle_time: Duration,
     places: Rc<Semaphore>,
@@ -37,7 +37,7 @@
     pub fn new(
         listener: TcpListener,
         engine: Tx<EngineMessage>,
-        stop: StopSignal,
+        stop: Latch,
         settings: &BrokerSettings,
     ) -> Self {
         let limits = Limits {
@@ -68,7 +68,7 @@
     }
 
     fn accepted(&mut self, stream: TcpStream) {
-        if self.stop.is_given() {
+        if self.stop.is_set() {
             self.refuser.refuse(stream, Unwelcome::Stopping);
             return;
         }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -5,13 +5,13 @@
 mod engine;
 mod feed;
 mod known_controls;
+mod latch;
 mod leaves;
 mod metrics;
 mod reload;
 mod route_reports;
 pub mod routes;
 mod signals;
-mod stop;
 
 use std::io;
 use std::time::Duration;
@@ -29,8 +29,8 @@
 use crate::callers::CallerServer;
 use crate::engine::{Engine, EngineMessage};
 use crate::feed::{FeedInputs, LastReport};
+use crate::latch::Latch;
 use crate::routes::{Dialect, RouteServer};
-use crate::stop::StopSignal;
 
 /// Time that a planned stop waits for the receipt of the last charges.
 const LAST_REPORT_LIMIT: Duration = Duration::from_secs(5);
@@ -48,7 +48,7 @@
     let listener = listen(settings.listen)?;
     let metrics_listener = settings.metrics.map(listen).transpose()?;
     let (engine, messages) = local_sync::mpsc::unbounded::channel();
-    let stop = StopSignal::new();
+    let stop = Latch::new();
     spawn_stop_watch(stop.clone(), engine.clone())?;
     let address = listener.local_addr()?;
     match &metrics_listener {
@@ -97,11 +97,11 @@
     }
 }
 
-fn spawn_stop_watch(stop: StopSignal, engine: Tx<EngineMessage>) -> io::Result<()> {
+fn spawn_stop_watch(stop: Latch, engine: Tx<EngineMessage>) -> io::Result<()> {
     let requested = signals::stop_requested()?;
     monoio::spawn(async move {
         requested.await;
-        stop.give();
+        stop.set();
         // The engine ends only after this message.
         let _ = engine.send(EngineMessage::Stop);
     });
--- a/crates/broker/src/routes/attempts.rs
+++ b/crates/broker/src/routes/attempts.rs
@@ -24,7 +24,7 @@
 use super::running::AttemptSet;
 use super::state::RouteState;
 use super::trail::{AttemptReason, TrailEntry, outcome_name};
-use crate::stop::StopSignal;
+use crate::latch::Latch;
 
 /// Latency quantile after which a part of a gathered answer is hedged.
 const PART_HEDGE_QUANTILE: f64 = 0.95;
@@ -59,7 +59,7 @@
 /// State shared by the parts of one request.
 pub struct FanOut {
     /// Given once the missing parts take longer than the others did.
-    pub overdue: StopSignal,
+    pub overdue: Latch,
     /// Time without a reply after which a part is hedged.
     hedge_delay: Duration,
     /// Number of further parts that may be missing from the answer.
@@ -74,7 +74,7 @@
     /// State of a request of this route, of whose parts `spare_parts` may be missing.
     pub fn new(state: &RouteState, route: &Route, spare_parts: usize, caution: Caution) -> Self {
         Self {
-            overdue: StopSignal::new(),
+            overdue: Latch::new(),
             hedge_delay: route_hedge_delay(state, route),
             spare_parts: Cell::new(spare_parts),
             gate: RefCell::new(CanaryGate::new(caution)),
@@ -428,7 +428,7 @@
                 return settled;
             },
             () = hedge_due(&call, overdue_seen) => {
-                overdue_seen = fan_out.overdue.is_given();
+                overdue_seen = fan_out.overdue.is_set();
                 call.mark_newest_late();
                 if let NextStep::Send(leaf, entry) = call.next_step(AttemptReason::Hedge) {
                     running.push(run_attempt(state, route, service, leaf, entry, request));
@@ -449,7 +449,7 @@
     }
     monoio::select! {
         _ = sleep(call.fan_out.hedge_delay) => {}
-        _ = call.fan_out.overdue.given() => {}
+        _ = call.fan_out.overdue.wait() => {}
     }
 }
 
--- a/crates/broker/src/routes/callers.rs
+++ b/crates/broker/src/routes/callers.rs
@@ -22,7 +22,7 @@
 use super::serving::{Served, lacks_key, refuse_unread, serve};
 use super::state::RouteState;
 use super::trail::Trail;
-use crate::stop::StopSignal;
+use crate::latch::Latch;
 
 /// Pause after a failed accept, such as without free descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -40,7 +40,7 @@
 /// Accepts connections of callers.
 pub struct CallerServer {
     state: Rc<RouteState>,
-    stop: StopSignal,
+    stop: Latch,
     open: Rc<Cell<usize>>,
 }
 
@@ -54,7 +54,7 @@
 
 impl CallerServer {
     /// Creates a server without connections.
-    pub fn new(state: Rc<RouteState>, stop: StopSignal) -> Self {
+    pub fn new(state: Rc<RouteState>, stop: Latch) -> Self {
         Self { state, stop, open: Rc::default() }
     }
 
@@ -98,7 +98,7 @@
 
 struct CallerConnection {
     state: Rc<RouteState>,
-    stop: StopSignal,
+    stop: Latch,
     reader: HttpReader,
     writer: OwnedWriteHalf<TcpStream>,
     /// Whether the connection was made after a planned stop had begun.
@@ -332,10 +332,10 @@
 /// Completes once a planned stop has reached the given phase.
 async fn stop_phase_reached(
     state: &RouteState,
-    stop: &StopSignal,
+    stop: &Latch,
     moment: impl Fn(&PlannedStop) -> Timestamp,
 ) {
-    stop.given().await;
+    stop.wait().await;
     // The signal may come before the stop has begun.
     let due = moment(&state.stop());
     sleep(state.clock.until(due)).await;
--- a/crates/broker/src/routes/gather.rs
+++ b/crates/broker/src/routes/gather.rs
@@ -156,8 +156,8 @@
             Some(_) => wake.min(canaries_until),
         };
         gathered.soft_deadline_passed |= now >= gathered.soft_deadline;
-        if gathered.gathering.is_overdue(now) && !fan_out.overdue.is_given() {
-            fan_out.overdue.give();
+        if gathered.gathering.is_overdue(now) && !fan_out.overdue.is_set() {
+            fan_out.overdue.set();
         }
         monoio::select! {
             part = running.next() => if let Some(outcome) = part {
--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -48,10 +48,10 @@
 pub use dialect::{Dialect, parse_load_report};
 
 use crate::feed::{self, FeedInputs, RouteUpdate};
+use crate::latch::Latch;
 use crate::reload;
 use crate::route_reports::{self, LinkedUsage, RouteReporters, RouteReports, SlowLeaves};
 use crate::signals;
-use crate::stop::StopSignal;
 use callers::CallerServer;
 use state::RouteState;
 
@@ -80,13 +80,13 @@
 ) -> io::Result<()> {
     let controls = reload::start(source, &settings)?;
     let requested = signals::stop_requested()?;
-    let (stop, clock) = (StopSignal::new(), Clock::start());
+    let (stop, clock) = (Latch::new(), Clock::start());
     let (reporters, reports) = route_reports::channels();
     let (server, updates) =
         RouteServer::start(&settings, routes, dialect, clock, &stop, reporters)?;
     follow(settings.clone(), clock, controls, reports, updates);
     requested.await;
-    stop.give();
+    stop.set();
     server.finish().await;
     info!(event = "stopped", name = settings.name);
     Ok(())
@@ -109,7 +109,7 @@
         routes: RouteSettings,
         dialect: Dialect,
         clock: Clock,
-        stop: &StopSignal,
+        stop: &Latch,
         reporters: RouteReporters,
     ) -> io::Result<(Self, Tx<RouteUpdate>)> {
         let listener = listen(routes.listen)?;
--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -34,8 +34,8 @@
 use super::quota::Quotas;
 use super::rollouts::RolloutTable;
 use super::route_metrics::RouteMetrics;
+use crate::latch::Latch;
 use crate::route_reports::FoundCrash;
-use crate::stop::StopSignal;
 
 /// Minimum retry-after until the first configuration arrives.
 const MIN_STARTUP_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -77,7 +77,7 @@
     fresh_until: Cell<Timestamp>,
     stop: Cell<Option<PlannedStop>>,
     /// Given once a configuration and a directory of leaves are in force.
-    ready: StopSignal,
+    ready: Latch,
     /// Observed delivery time of merged answers.
     delivery: Cell<DeliveryTime>,
     random: RefCell<Pcg64>,
@@ -111,7 +111,7 @@
             splits: RefCell::default(),
             fresh_until: Cell::new(Timestamp::ZERO),
             stop: Cell::new(None),
-            ready: StopSignal::new(),
+            ready: Latch::new(),
             delivery: Cell::default(),
             random: RefCell::new(random),
         }
@@ -121,20 +121,20 @@
     /// left until `deadline` and at most for the configured time. An immediate refusal would only
     /// make the caller retry while nothing has changed.
     pub async fn wait_until_ready(&self, deadline: Instant) {
-        if self.ready.is_given() {
+        if self.ready.is_set() {
             return;
         }
         let left = deadline.saturating_duration_since(Instant::now());
         let longest = Duration::from_millis(self.settings.start_wait_ms.into());
         let wait = longest.min(left.mul_f64(START_WAIT_SHARE));
         // After a timeout the request is refused by the route lookup.
-        let _ = timeout(wait, self.ready.given()).await;
+        let _ = timeout(wait, self.ready.wait()).await;
     }
 
     /// Gives the ready signal once a configuration and a directory are in force.
     pub fn signal_if_ready(&self) {
-        if self.leaves.is_listed() && self.table.borrow().is_some() && !self.ready.is_given() {
-            self.ready.give();
+        if self.leaves.is_listed() && self.table.borrow().is_some() && !self.ready.is_set() {
+            self.ready.set();
         }
     }
 
