--- a/crates/broker/src/routes/callers.rs
+++ b/crates/broker/src/routes/callers.rs
@@ -214,7 +214,7 @@
             }
             _ => {}
         }
-        if head.headers.lists("expect", "100-continue") {
+        if head.headers.contains_token("expect", "100-continue") {
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()).await?;
         }
         let mut decoder = BodyDecoder::new(framing);
--- a/crates/transport/src/http1/head.rs
+++ b/crates/transport/src/http1/head.rs
@@ -85,7 +85,7 @@
     }
 
     /// Whether a field that lists words names this one.
-    pub fn lists(&self, name: &str, word: &str) -> bool {
+    pub fn contains_token(&self, name: &str, word: &str) -> bool {
         self.all(name).any(|value| {
             let words = value.split(|byte| *byte == b',');
             words
@@ -108,7 +108,7 @@
             "upgrade",
         ];
         let fixed = HOP_BY_HOP.iter().any(|known| name.eq_ignore_ascii_case(known.as_bytes()));
-        fixed || std::str::from_utf8(name).is_ok_and(|name| self.lists("connection", name))
+        fixed || std::str::from_utf8(name).is_ok_and(|name| self.contains_token("connection", name))
     }
 }
 
@@ -133,10 +133,10 @@
 
     /// Whether the connection stays open after this request, as far as the sender says.
     pub fn keeps_alive(&self) -> bool {
-        if self.headers.lists("connection", "close") {
+        if self.headers.contains_token("connection", "close") {
             return false;
         }
-        !self.is_http_10 || self.headers.lists("connection", "keep-alive")
+        !self.is_http_10 || self.headers.contains_token("connection", "keep-alive")
     }
 }
 
@@ -154,10 +154,10 @@
 impl ResponseHead {
     /// Whether the connection stays open after this response, as far as the sender says.
     pub fn keeps_alive(&self) -> bool {
-        if self.headers.lists("connection", "close") {
+        if self.headers.contains_token("connection", "close") {
             return false;
         }
-        !self.is_http_10 || self.headers.lists("connection", "keep-alive")
+        !self.is_http_10 || self.headers.contains_token("connection", "keep-alive")
     }
 }
 
