--- a/crates/broker/src/feed.rs
+++ b/crates/broker/src/feed.rs
@@ -38,7 +38,7 @@
 use crate::control_dial::{dial, dial_nearest};
 use crate::engine::EngineMessage;
 use crate::known_controls::KnownControls;
-use crate::route_reports::{FoundCrash, LinkNumber, LinkedUsage, RouteReports, SlowLeaves};
+use crate::route_reports::{CrashReport, LinkNumber, LinkUsage, RouteReports, SlowLeaves};
 
 /// Bound of the first pause before another control process is asked.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
@@ -141,8 +141,8 @@
     Message(Result<FeedMessage, LinkError>),
     LastReport(LastReport),
     SlowLeaves(SlowLeaves),
-    FoundCrash(FoundCrash),
-    Usage(LinkedUsage),
+    CrashReport(CrashReport),
+    Usage(LinkUsage),
     Rollouts(Vec<RolloutReport>),
     TimerElapsed,
 }
@@ -265,7 +265,7 @@
                     self.hurry_last_report();
                 }
                 News::SlowLeaves(report) => self.report_slow_leaves(writer, &report).await?,
-                News::FoundCrash(found) => self.report_crash(writer, found).await?,
+                News::CrashReport(found) => self.report_crash(writer, found).await?,
                 News::Usage(usage) => self.report_usage(writer, &usage).await?,
                 News::Rollouts(reports) => {
                     let reports = encode_document(&reports)?.into();
@@ -289,8 +289,8 @@
                 Some(report) => News::SlowLeaves(report),
                 None => std::future::pending().await,
             },
-            found = self.route_reports.found_crashes.recv() => match found {
-                Some(found) => News::FoundCrash(found),
+            found = self.route_reports.crash_reports.recv() => match found {
+                Some(found) => News::CrashReport(found),
                 // Nothing serves routes in this process.
                 None => std::future::pending().await,
             },
--- a/crates/broker/src/feed/reports.rs
+++ b/crates/broker/src/feed/reports.rs
@@ -11,7 +11,7 @@
 
 use super::{Link, LinkError, send};
 use crate::engine::EngineMessage;
-use crate::route_reports::{FoundCrash, LinkedUsage, SlowLeaves};
+use crate::route_reports::{CrashReport, LinkUsage, SlowLeaves};
 
 /// Time for which a report of slow leaves may wait for a link: the ages in it are off by the wait.
 const SLOW_LEAVES_LIFE: Duration = Duration::from_millis(500);
@@ -61,7 +61,7 @@
     pub(super) async fn report_crash(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
-        found: FoundCrash,
+        found: CrashReport,
     ) -> Result<(), LinkError> {
         let trial = found.trial;
         let Some(finding) = found.current(self.clock.now()) else {
@@ -84,7 +84,7 @@
     pub(super) async fn report_usage(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
-        usage: &LinkedUsage,
+        usage: &LinkUsage,
     ) -> Result<(), LinkError> {
         if usage.link != self.number {
             return Ok(());
--- a/crates/broker/src/route_reports.rs
+++ b/crates/broker/src/route_reports.rs
@@ -22,7 +22,7 @@
 }
 
 /// A request under which leaves have ended.
-pub struct FoundCrash {
+pub struct CrashReport {
     /// When this was told: the time of the finding counts from then.
     pub at: Timestamp,
     /// What was found.
@@ -31,7 +31,7 @@
     pub trial: Option<u64>,
 }
 
-impl FoundCrash {
+impl CrashReport {
     /// The finding as it is now; none when its time is over.
     pub fn current(self, now: Timestamp) -> Option<CrashFinding> {
         let passed = now.since(self.at).as_millis() as u32;
@@ -46,7 +46,7 @@
 
 /// What tenants used of their quotas, for the control process at the end of one link. It is of no use on
 /// another link: what it counts is reported anew there.
-pub struct LinkedUsage {
+pub struct LinkUsage {
     /// The link.
     pub link: LinkNumber,
     /// The report.
@@ -58,9 +58,9 @@
     /// Leaves that were slow.
     pub slow_leaves: bounded::Tx<SlowLeaves>,
     /// Requests under which leaves have ended.
-    pub found_crashes: unbounded::Tx<FoundCrash>,
+    pub crash_reports: unbounded::Tx<CrashReport>,
     /// What tenants used of their quotas.
-    pub usage: bounded::Tx<LinkedUsage>,
+    pub usage: bounded::Tx<LinkUsage>,
     /// What came to light of roll-outs.
     pub rollouts: bounded::Tx<Vec<RolloutReport>>,
 }
@@ -70,9 +70,9 @@
     /// Leaves that were slow.
     pub slow_leaves: bounded::Rx<SlowLeaves>,
     /// Requests under which leaves have ended.
-    pub found_crashes: unbounded::Rx<FoundCrash>,
+    pub crash_reports: unbounded::Rx<CrashReport>,
     /// What tenants used of their quotas.
-    pub usage: bounded::Rx<LinkedUsage>,
+    pub usage: bounded::Rx<LinkUsage>,
     /// What came to light of roll-outs.
     pub rollouts: bounded::Rx<Vec<RolloutReport>>,
 }
@@ -82,12 +82,12 @@
     let (slow_leaves_sender, slow_leaves) = bounded::channel(WAITING_REPORTS);
     let (usage_sender, usage) = bounded::channel(WAITING_REPORTS);
     let (rollouts_sender, rollouts) = bounded::channel(WAITING_REPORTS);
-    let (crashes_sender, found_crashes) = unbounded::channel();
+    let (crashes_sender, crash_reports) = unbounded::channel();
     let reporters = RouteReporters {
         slow_leaves: slow_leaves_sender,
-        found_crashes: crashes_sender,
+        crash_reports: crashes_sender,
         usage: usage_sender,
         rollouts: rollouts_sender,
     };
-    (reporters, RouteReports { slow_leaves, found_crashes, usage, rollouts })
+    (reporters, RouteReports { slow_leaves, crash_reports, usage, rollouts })
 }
--- a/crates/broker/src/routes/crash_watch.rs
+++ b/crates/broker/src/routes/crash_watch.rs
@@ -21,7 +21,7 @@
 
 use super::attempt::ForwardedRequest;
 use super::route_metrics::RouteMetrics;
-use crate::route_reports::FoundCrash;
+use crate::route_reports::CrashReport;
 
 /// Timeout of asking the control tier for a trial.
 const TRIAL_LIMIT: Duration = Duration::from_secs(1);
@@ -39,7 +39,7 @@
     rooms: RefCell<BTreeMap<String, CanaryHeadroom>>,
     /// Routes whose requests all go to canary leaves first, regardless of latency.
     canary_routes: RefCell<BTreeSet<String>>,
-    findings: Tx<FoundCrash>,
+    findings: Tx<CrashReport>,
     /// Recently abandoned requests: their leaves may still end under them.
     given_up: RefCell<AbandonedRequests>,
     /// Requests that wait for a trial, by ticket.
@@ -48,7 +48,7 @@
 
 impl CrashWatch {
     /// Creates a watch without suspects that sends its findings to `findings`.
-    pub fn new(clock: Clock, findings: Tx<FoundCrash>) -> Self {
+    pub fn new(clock: Clock, findings: Tx<CrashReport>) -> Self {
         Self {
             clock,
             suspects: RefCell::default(),
@@ -139,7 +139,7 @@
     /// Reports a finding, or asks for a trial with this number.
     fn report(&self, finding: CrashFinding, trial: Option<u64>) {
         // The feed lives as long as the process.
-        let _ = self.findings.send(FoundCrash { at: self.clock.now(), finding, trial });
+        let _ = self.findings.send(CrashReport { at: self.clock.now(), finding, trial });
     }
 
     /// Asks the control tier for a trial.
--- a/crates/broker/src/routes/mod.rs
+++ b/crates/broker/src/routes/mod.rs
@@ -50,7 +50,7 @@
 use crate::feed::{self, FeedInputs, RouteUpdate};
 use crate::latch::Latch;
 use crate::reload;
-use crate::route_reports::{self, LinkedUsage, RouteReporters, RouteReports, SlowLeaves};
+use crate::route_reports::{self, LinkUsage, RouteReporters, RouteReports, SlowLeaves};
 use crate::signals;
 use callers::CallerServer;
 use state::RouteState;
@@ -128,7 +128,7 @@
             routes,
             dialect,
             clock,
-            reporters.found_crashes,
+            reporters.crash_reports,
         ));
         if let Some(listener) = readiness {
             monoio::spawn(readiness::serve(listener, state.clone()));
@@ -237,7 +237,7 @@
 }
 
 /// Reports the quota usage of tenants until the receiver is dropped.
-async fn report_usage(state: Rc<RouteState>, reports: bounded::Tx<LinkedUsage>) {
+async fn report_usage(state: Rc<RouteState>, reports: bounded::Tx<LinkUsage>) {
     loop {
         sleep(USAGE_INTERVAL).await;
         state.quotas.log_relieved_tenants();
--- a/crates/broker/src/routes/quota.rs
+++ b/crates/broker/src/routes/quota.rs
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg64;
 use tracing::info;
 
-use crate::route_reports::{LinkNumber, LinkedUsage};
+use crate::route_reports::{LinkNumber, LinkUsage};
 
 /// Requests of a tenant with a quota, since the start of this broker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -116,10 +116,10 @@
     }
 
     /// The usage report that is due on the current link, if any.
-    pub fn report(&self) -> Option<LinkedUsage> {
+    pub fn report(&self) -> Option<LinkUsage> {
         let link = self.link.get()?;
         let report = self.meter.borrow_mut().report(self.clock.now())?;
-        Some(LinkedUsage { link, report })
+        Some(LinkUsage { link, report })
     }
 
     /// Request counts of all tenants with a quota, the most refused first.
--- a/crates/broker/src/routes/state.rs
+++ b/crates/broker/src/routes/state.rs
@@ -35,7 +35,7 @@
 use super::rollouts::RolloutTable;
 use super::route_metrics::RouteMetrics;
 use crate::latch::Latch;
-use crate::route_reports::FoundCrash;
+use crate::route_reports::CrashReport;
 
 /// Minimum retry-after until the first configuration arrives.
 const MIN_STARTUP_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -90,7 +90,7 @@
         settings: RouteSettings,
         dialect: Dialect,
         clock: Clock,
-        found_crashes: Tx<FoundCrash>,
+        crash_reports: Tx<CrashReport>,
     ) -> Self {
         let seed = broker.seed.unwrap_or_else(|| rand::rng().random());
         let mut random = Pcg64::seed_from_u64(seed);
@@ -104,7 +104,7 @@
             metrics: RouteMetrics::default(),
             leaves,
             admission: Admission::new(clock),
-            crashes: CrashWatch::new(clock, found_crashes),
+            crashes: CrashWatch::new(clock, crash_reports),
             rollouts: RolloutTable::default(),
             table: RefCell::default(),
             latencies: RefCell::default(),
