--- a/crates/broker/src/callers/connection.rs
+++ b/crates/broker/src/callers/connection.rs
@@ -104,13 +104,13 @@
         let response = match read_request(self.next_query_id(), request) {
             Ok(CallerRequest::Query { submission, deadline, body }) => {
                 let outcome = self.run_query(submission, deadline, body).await?;
-                response::answer(&outcome)
+                response::query_response(&outcome)
             }
             Ok(CallerRequest::IssueKey(caller)) => self.issue_key(caller).await?,
             Err(error) => response::bad_request(&error),
         };
         if last || self.stop.is_set() {
-            self.respond(response::last(response)).await?;
+            self.respond(response::with_close(response)).await?;
             return Ok(After::Close);
         }
         self.respond(response).await?;
@@ -160,7 +160,7 @@
             TransportError::Malformed(_) => StatusCode::BAD_REQUEST,
             TransportError::ConnectionClosed | TransportError::Socket(_) => return,
         };
-        let response = response::last(response::transport_error(status, error));
+        let response = response::with_close(response::transport_error(status, error));
         if self.respond(response).await.is_ok() {
             self.linger().await;
         }
--- a/crates/broker/src/callers/mod.rs
+++ b/crates/broker/src/callers/mod.rs
@@ -18,7 +18,7 @@
 use crate::engine::EngineMessage;
 use crate::latch::Latch;
 use connection::{CallerConnection, ConnectionBounds};
-use refusal::{Refuser, Unwelcome};
+use refusal::{ConnectionRefusal, RefusalResponder};
 
 /// Accepts callers' connections.
 pub struct CallerServer {
@@ -28,7 +28,7 @@
     limits: Limits,
     idle_time: Duration,
     places: Rc<Semaphore>,
-    refuser: Refuser,
+    refusal_responder: RefusalResponder,
     next_connection: u32,
 }
 
@@ -52,7 +52,7 @@
             limits,
             idle_time: Duration::from_millis(u64::from(settings.idle_time_ms)),
             places: Rc::new(Semaphore::new(settings.caller_connections as usize)),
-            refuser: Refuser::new(limits),
+            refusal_responder: RefusalResponder::new(limits),
             next_connection: 0,
         }
     }
@@ -69,11 +69,11 @@
 
     fn accepted(&mut self, stream: TcpStream) {
         if self.stop.is_set() {
-            self.refuser.refuse(stream, Unwelcome::Stopping);
+            self.refusal_responder.refuse(stream, ConnectionRefusal::Stopping);
             return;
         }
         let Ok(place) = self.places.clone().try_acquire_owned() else {
-            self.refuser.refuse(stream, Unwelcome::TooMany);
+            self.refusal_responder.refuse(stream, ConnectionRefusal::TooMany);
             return;
         };
         let number = self.next_connection;
--- a/crates/broker/src/callers/refusal.rs
+++ b/crates/broker/src/callers/refusal.rs
@@ -20,7 +20,7 @@
 
 /// Why a connection is not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unwelcome {
+pub enum ConnectionRefusal {
     /// Callers hold as many connections as they may.
     TooMany,
     /// The broker is stopping.
@@ -28,19 +28,19 @@
 }
 
 /// Answers connections that are not served.
-pub struct Refuser {
+pub struct RefusalResponder {
     limits: Limits,
     places: Rc<Semaphore>,
 }
 
-impl Refuser {
-    /// A refuser with these bounds on requests.
+impl RefusalResponder {
+    /// A refusal_responder with these bounds on requests.
     pub fn new(limits: Limits) -> Self {
         Self { limits, places: Rc::new(Semaphore::new(REFUSED_AT_ONCE)) }
     }
 
     /// Answers the first request on a connection with the reason, then closes it.
-    pub fn refuse(&self, stream: TcpStream, reason: Unwelcome) {
+    pub fn refuse(&self, stream: TcpStream, reason: ConnectionRefusal) {
         let Ok(place) = self.places.clone().try_acquire_owned() else {
             return;
         };
@@ -56,17 +56,17 @@
 
 /// Reads the request before it answers: closing a connection with unread bytes would reset it
 /// and take the answer away from the caller.
-async fn answer_once(mut connection: ServerConnection, reason: Unwelcome) {
+async fn answer_once(mut connection: ServerConnection, reason: ConnectionRefusal) {
     // Whatever comes is refused, also nothing.
     let _ = timeout(REQUEST_TIME, connection.next_request()).await;
     // The caller may be gone; then there is nobody to tell.
-    let _ = connection.respond(response::last(response_for(reason))).await;
+    let _ = connection.respond(response::with_close(response_for(reason))).await;
 }
 
-fn response_for(reason: Unwelcome) -> HttpResponse {
+fn response_for(reason: ConnectionRefusal) -> HttpResponse {
     match reason {
-        Unwelcome::TooMany => response::too_many_connections(),
-        Unwelcome::Stopping => response::refused(Refusal {
+        ConnectionRefusal::TooMany => response::too_many_connections(),
+        ConnectionRefusal::Stopping => response::refused(Refusal {
             reason: RefusalReason::Stopping,
             retry_after: STOPPING_RETRY_AFTER,
         }),
--- a/crates/broker/src/callers/response.rs
+++ b/crates/broker/src/callers/response.rs
@@ -60,7 +60,7 @@
 }
 
 /// The response for an outcome.
-pub fn answer(outcome: &QueryOutcome) -> HttpResponse {
+pub fn query_response(outcome: &QueryOutcome) -> HttpResponse {
     match outcome {
         QueryOutcome::Answered(answer) => {
             let document = Document {
@@ -130,7 +130,7 @@
 }
 
 /// Marks a response as the last of its connection.
-pub fn last(mut response: HttpResponse) -> HttpResponse {
+pub fn with_close(mut response: HttpResponse) -> HttpResponse {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
