--- a/crates/broker/src/callers/refusal.rs
+++ b/crates/broker/src/callers/refusal.rs
@@ -1,4 +1,4 @@
-//! Connections that are answered once, with a refusal, and closed.
+//! Refuses a connection with a single HTTP response and closes it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,55 +11,56 @@
 
 use super::response;
 
-/// Connections that are refused at the same time; more are closed without a word.
-const REFUSED_AT_ONCE: usize = 256;
-/// Time for which a request is awaited on a connection that is refused.
-const REQUEST_TIME: Duration = Duration::from_secs(1);
-/// Advice to a caller whose broker stops.
+/// Maximum number of connections being refused at a time; further ones are closed without a
+/// response.
+const MAX_CONCURRENT_REFUSALS: usize = 256;
+/// Time limit for reading the request of a refused connection.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Retry-after of a request refused during a planned stop.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a connection is not served.
+/// Why a connection is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionRefusal {
-    /// Callers hold as many connections as they may.
+    /// The limit of caller connections is reached.
     TooMany,
-    /// The broker is stopping.
+    /// The broker is in a planned stop.
     Stopping,
 }
 
-/// Answers connections that are not served.
+/// Sends refusals and closes the connections.
 pub struct RefusalResponder {
     limits: Limits,
-    places: Rc<Semaphore>,
+    permits: Rc<Semaphore>,
 }
 
 impl RefusalResponder {
-    /// A refusal_responder with these bounds on requests.
+    /// Creates a responder that reads requests within `limits`.
     pub fn new(limits: Limits) -> Self {
-        Self { limits, places: Rc::new(Semaphore::new(REFUSED_AT_ONCE)) }
+        Self { limits, permits: Rc::new(Semaphore::new(MAX_CONCURRENT_REFUSALS)) }
     }
 
-    /// Answers the first request on a connection with the reason, then closes it.
+    /// Answers the first request of a connection with a refusal, then closes the connection.
     pub fn refuse(&self, stream: TcpStream, reason: ConnectionRefusal) {
-        let Ok(place) = self.places.clone().try_acquire_owned() else {
+        let Ok(permit) = self.permits.clone().try_acquire_owned() else {
             return;
         };
         let limits = self.limits;
         monoio::spawn(async move {
             let connection = ServerConnection::new(stream, limits);
-            // Times out when the caller sends or reads too slowly; it is closed all the same.
-            let _ = timeout(2 * REQUEST_TIME, answer_once(connection, reason)).await;
-            drop(place);
+            // On a timeout the connection is closed without a response.
+            let _ = timeout(2 * REQUEST_TIMEOUT, respond_once(connection, reason)).await;
+            drop(permit);
         });
     }
 }
 
-/// Reads the request before it answers: closing a connection with unread bytes would reset it
-/// and take the answer away from the caller.
-async fn answer_once(mut connection: ServerConnection, reason: ConnectionRefusal) {
-    // Whatever comes is refused, also nothing.
-    let _ = timeout(REQUEST_TIME, connection.next_request()).await;
-    // The caller may be gone; then there is nobody to tell.
+/// Reads the request before responding: closing a connection with unread bytes resets it, and the
+/// caller would lose the response.
+async fn respond_once(mut connection: ServerConnection, reason: ConnectionRefusal) {
+    // The refusal is sent whatever was read, and also after a timeout.
+    let _ = timeout(REQUEST_TIMEOUT, connection.next_request()).await;
+    // Fails if the caller has disconnected.
     let _ = connection.respond(response::with_close(response_for(reason))).await;
 }
 
