--- a/crates/broker/src/callers/connection.rs
+++ b/crates/broker/src/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection, owned by a task.
+//! A caller's connection; one task owns it.
 
 use std::time::Duration;
 
@@ -22,23 +22,24 @@
 use crate::engine::EngineMessage;
 use crate::latch::Latch;
 
-/// Time for which an idle connection takes a last request once a planned stop has begun.
+/// How long an idle connection still accepts a request after the start of a planned stop.
 const STOP_GRACE: Duration = Duration::from_millis(250);
-/// Time for which a caller that was rejected may go on sending before the connection is closed.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Bytes that a caller that was rejected may go on sending.
+/// How long bytes of the caller are discarded after the last response, before the connection is
+/// closed.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes discarded after the last response.
 const LINGER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Bounds of a caller's connection.
+/// Limits of a caller's connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionBounds {
-    /// Bounds of each request.
+    /// Limits of each request.
     pub limits: Limits,
-    /// Time for which the connection may lie idle between requests.
+    /// Idle timeout between requests.
     pub idle_time: Duration,
 }
 
-/// One caller's connection.
+/// A caller's connection and the queries on it.
 pub struct CallerConnection {
     number: u32,
     next_query: u32,
@@ -49,15 +50,15 @@
     stop: Latch,
 }
 
-/// What becomes of a connection after an answer.
+/// Whether a connection stays open after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum After {
+enum AfterResponse {
     KeepAlive,
     Close,
 }
 
 impl CallerConnection {
-    /// Takes over an accepted socket; `number` is unique within the broker run.
+    /// Wraps an accepted socket; `number` is unique within the broker run.
     pub fn new(
         number: u32,
         stream: TcpStream,
@@ -69,14 +70,14 @@
         Self { number, next_query: 0, reader, writer, bounds, engine, stop }
     }
 
-    /// Answers requests until the caller hangs up, stays idle for too long, sends something that is
-    /// not HTTP, or a planned stop has begun.
+    /// Serves requests until the caller disconnects, the idle timeout expires, a request is invalid
+    /// HTTP, or a planned stop begins.
     pub async fn run(mut self) {
-        while self.request_comes().await {
+        while self.await_request().await {
             match self.reader.next_request().await {
-                Ok(Some(request)) => match self.answer(request).await {
-                    Ok(After::KeepAlive) => {}
-                    Ok(After::Close) => return self.linger().await,
+                Ok(Some(request)) => match self.handle_request(request).await {
+                    Ok(AfterResponse::KeepAlive) => {}
+                    Ok(AfterResponse::Close) => return self.linger().await,
                     Err(error) => return debug!(event = "caller_gone", %error),
                 },
                 Ok(None) => return,
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Whether the first byte of a request comes in time; an idle connection ends with a planned
-    /// stop.
-    async fn request_comes(&mut self) -> bool {
+    /// Whether the first byte of a request arrives before the idle timeout, or within
+    /// [`STOP_GRACE`] after the start of a planned stop.
+    async fn await_request(&mut self) -> bool {
         let grace = async {
             self.stop.wait().await;
             sleep(STOP_GRACE).await;
@@ -99,7 +100,10 @@
         }
     }
 
-    async fn answer(&mut self, request: HttpRequest) -> Result<After, TransportError> {
+    async fn handle_request(
+        &mut self,
+        request: HttpRequest,
+    ) -> Result<AfterResponse, TransportError> {
         let last = asks_to_close(&request);
         let response = match read_request(self.next_query_id(), request) {
             Ok(CallerRequest::Query { submission, deadline, body }) => {
@@ -111,14 +115,14 @@
         };
         if last || self.stop.is_set() {
             self.respond(response::with_close(response)).await?;
-            return Ok(After::Close);
+            return Ok(AfterResponse::Close);
         }
         self.respond(response).await?;
-        Ok(After::KeepAlive)
+        Ok(AfterResponse::KeepAlive)
     }
 
-    /// Submits a query and awaits its outcome; tells the engine when the caller hangs up. A
-    /// caller that has sent more bytes meanwhile counts as present.
+    /// Submits a query and awaits its outcome; notifies the engine if the caller disconnects. A
+    /// caller that has pipelined more bytes counts as connected.
     async fn run_query(
         &mut self,
         submission: Submission,
@@ -129,12 +133,12 @@
         let (reply, mut outcome) = oneshot::channel();
         // The engine lives as long as the process.
         let _ = self.engine.send(EngineMessage::Submit { submission, deadline, body, reply });
-        let mut watching = true;
+        let mut watches_caller = true;
         loop {
             monoio::select! {
                 answered = &mut outcome => return answered.map_err(|_| TransportError::ConnectionClosed),
-                begun = self.reader.wait(), if watching => match begun {
-                    Ok(true) => watching = false,
+                begun = self.reader.wait(), if watches_caller => match begun {
+                    Ok(true) => watches_caller = false,
                     Ok(false) | Err(_) => {
                         let _ = self.engine.send(EngineMessage::CallerGone(query));
                         return Err(TransportError::ConnectionClosed);
@@ -173,11 +177,12 @@
             .map_err(|_| TransportError::TimedOut)?
     }
 
-    /// Ends the connection so that the caller can read its answer although it still sends.
+    /// Closes the connection in such a way that a caller that is still sending can read its
+    /// response.
     async fn linger(mut self) {
         if self.writer.close().await.is_ok() {
-            // Once the time is over the connection is closed in any case.
-            let _ = timeout(LINGER_TIME, self.reader.discard(LINGER_BYTES)).await;
+            // The connection is closed after a timeout, too.
+            let _ = timeout(LINGER_TIMEOUT, self.reader.discard(LINGER_BYTES)).await;
         }
     }
 
