--- a/crates/broker/src/callers/mod.rs
+++ b/crates/broker/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' connections and the HTTP exchange on them.
+//! Accepts callers' connections and serves HTTP on them.
 
 mod connection;
 mod refusal;
@@ -20,20 +20,20 @@
 use connection::{CallerConnection, ConnectionBounds};
 use refusal::{ConnectionRefusal, RefusalResponder};
 
-/// Accepts callers' connections.
+/// Listener for callers, with a limit on open connections.
 pub struct CallerServer {
     listener: TcpListener,
     engine: Tx<EngineMessage>,
     stop: Latch,
     limits: Limits,
     idle_time: Duration,
-    places: Rc<Semaphore>,
+    permits: Rc<Semaphore>,
     refusal_responder: RefusalResponder,
     next_connection: u32,
 }
 
 impl CallerServer {
-    /// A server on a bound listener.
+    /// Creates a server on a bound listener.
     pub fn new(
         listener: TcpListener,
         engine: Tx<EngineMessage>,
@@ -51,13 +51,13 @@
             stop,
             limits,
             idle_time: Duration::from_millis(u64::from(settings.idle_time_ms)),
-            places: Rc::new(Semaphore::new(settings.caller_connections as usize)),
+            permits: Rc::new(Semaphore::new(settings.caller_connections as usize)),
             refusal_responder: RefusalResponder::new(limits),
             next_connection: 0,
         }
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections until the process ends.
     pub async fn run(mut self) {
         loop {
             match self.listener.accept().await {
@@ -72,7 +72,7 @@
             self.refusal_responder.refuse(stream, ConnectionRefusal::Stopping);
             return;
         }
-        let Ok(place) = self.places.clone().try_acquire_owned() else {
+        let Ok(permit) = self.permits.clone().try_acquire_owned() else {
             self.refusal_responder.refuse(stream, ConnectionRefusal::TooMany);
             return;
         };
@@ -86,7 +86,7 @@
         let _ = engine.send(EngineMessage::CallerConnected);
         monoio::spawn(async move {
             connection.run().await;
-            drop(place);
+            drop(permit);
             let _ = engine.send(EngineMessage::CallerDisconnected);
         });
     }
