--- a/crates/broker/src/callers/response.rs
+++ b/crates/broker/src/callers/response.rs
@@ -1,4 +1,4 @@
-//! How outcomes look in HTTP.
+//! Maps outcomes to HTTP responses.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 
 use super::request::RequestError;
 
-/// Milliseconds after which asking again is worth while; finer than `Retry-After`.
+/// The retry-after in milliseconds; `Retry-After` has a resolution of one second.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("x-retry-after-ms");
 
-/// Advice to a caller whose connection is one too many.
+/// Retry-after of a connection refused at the connection limit.
 const CONNECTIONS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
@@ -59,7 +59,7 @@
     body: &'answer str,
 }
 
-/// The response for an outcome.
+/// The response for the outcome of a query.
 pub fn query_response(outcome: &QueryOutcome) -> HttpResponse {
     match outcome {
         QueryOutcome::Answered(answer) => {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The response to a request that is refused.
+/// The response to a refused request.
 pub fn refused(refusal: Refusal) -> HttpResponse {
     let Refusal { reason, retry_after } = refusal;
     let document = Document {
@@ -111,7 +111,7 @@
     with_retry_after(respond(refusal_status(reason), &document), retry_after)
 }
 
-/// The response to a connection that is one too many.
+/// The response on a connection refused at the connection limit.
 pub fn too_many_connections() -> HttpResponse {
     let document = Document {
         outcome: "not_run",
@@ -124,18 +124,18 @@
     with_retry_after(response, CONNECTIONS_RETRY_AFTER)
 }
 
-/// The response that carries a request key.
+/// The response with a new request key.
 pub fn issued_key(key: &RequestKey) -> HttpResponse {
     respond(StatusCode::CREATED, &KeyDocument { key: key.to_string() })
 }
 
-/// Marks a response as the last of its connection.
+/// Adds `Connection: close` to a response.
 pub fn with_close(mut response: HttpResponse) -> HttpResponse {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// The response to a request that is not understood.
+/// The response to an invalid request.
 pub fn bad_request(error: &RequestError) -> HttpResponse {
     let status = match error {
         RequestError::UnknownPath(_) => StatusCode::NOT_FOUND,
@@ -145,7 +145,7 @@
     rejected(status, error.to_string())
 }
 
-/// The response to a message that is not acceptable HTTP.
+/// The response to a message that is malformed, too large or too slow.
 pub fn transport_error(status: StatusCode, error: &TransportError) -> HttpResponse {
     rejected(status, error.to_string())
 }
