--- a/crates/broker/src/callers/request.rs
+++ b/crates/broker/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! How callers' requests look in HTTP: `POST /v1/services/{service}/query` and
+//! Parses callers' HTTP requests: `POST /v1/services/{service}/query` and
 //! `POST /v1/request-keys`.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,26 +13,26 @@
 use http::{HeaderMap, Method};
 use quick_error::quick_error;
 
-/// Class that the caller pays for.
+/// Header with the class of the query.
 const CLASS_HEADER: &str = "x-class";
-/// Account of the caller.
+/// Header with the caller's account.
 const CALLER_HEADER: &str = "x-caller";
-/// Milliseconds until an answer is of no use; by default those of the class.
+/// Header with the deadline, in milliseconds from now; the class has a default.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// `false` for a request that may run at most once.
+/// Header that is `false` for a request that may run at most once.
 const REPEATABLE_HEADER: &str = "x-repeatable";
-/// Key under which a request that may run at most once is recorded.
+/// Header with the request key of a request that may run at most once.
 const KEY_HEADER: &str = "x-request-key";
-/// Path that issues keys.
+/// Path of requests for a request key.
 const KEYS_PATH: &str = "/v1/request-keys";
-/// Longest deadline.
+/// Maximum deadline of a query.
 const MAXIMUM_DEADLINE: Duration = Duration::from_secs(60);
 
 quick_error! {
-    /// A request that is not understood; nothing of it was run.
+    /// An invalid request; no part of it was run.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RequestError {
-        /// The path is not one of the broker's.
+        /// The broker does not serve the path.
         UnknownPath(path: String) {
             display("unknown path {path}: POST to /v1/services/NAME/query or /v1/request-keys")
         }
@@ -40,11 +40,11 @@
         WrongMethod(method: String) {
             display("method {method} is not allowed here: use POST")
         }
-        /// A header is missing.
+        /// A required header is missing.
         MissingHeader(name: &'static str) {
             display("header {name} is missing: add it")
         }
-        /// A header has a value that is not allowed.
+        /// A header has an invalid value.
         BadHeader(name: &'static str, remedy: &'static str) {
             display("header {name} is not understood: {remedy}")
         }
@@ -55,9 +55,9 @@
 pub enum CallerRequest {
     /// Run a query.
     Query {
-        /// The query; its deadline is set when it reaches the engine.
+        /// The query; the engine sets its deadline.
         submission: Submission,
-        /// Time until an answer is of no use; none takes that of the class.
+        /// Time until the deadline; none takes the default of the class.
         deadline: Option<Duration>,
         /// Body of the query.
         body: Bytes,
@@ -66,7 +66,7 @@
     IssueKey(CallerName),
 }
 
-/// Reads a caller's request.
+/// Parses a caller's request.
 ///
 /// # Errors
 /// A [`RequestError`] that names the remedy.
@@ -119,7 +119,8 @@
     Ok(Some(KeyedRequest { key, digest }))
 }
 
-/// Tells requests apart that come under the same key; it is compared within one process only.
+/// Digest that distinguishes requests under the same key; compared within one process only, since
+/// `DefaultHasher` may differ between builds.
 fn digest(service: &str, class: &str, body: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     (service, class, body).hash(&mut hasher);
