--- a/crates/broker/src/signals.rs
+++ b/crates/broker/src/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that ask for a planned stop.
+//! Signals that start a planned stop.
 
 use std::future::Future;
 use std::io;
@@ -9,10 +9,10 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::low_level::pipe;
 
-/// A future that ends once SIGTERM or SIGINT has arrived.
+/// Returns a future that completes on SIGTERM or SIGINT.
 ///
 /// # Errors
-/// An [`io::Error`] when the signals cannot be watched.
+/// An [`io::Error`] if the signal handlers cannot be registered.
 pub fn stop_requested() -> io::Result<impl Future<Output = ()>> {
     let (receiver, sender) = StdUnixStream::pair()?;
     pipe::register(SIGINT, sender.try_clone()?)?;
@@ -20,7 +20,7 @@
     receiver.set_nonblocking(true)?;
     let mut receiver = UnixStream::from_std(receiver)?;
     Ok(async move {
-        // Any end of the read, also an error, is taken as the signal.
+        // A read error also starts the stop.
         let _ = receiver.read(vec![0u8; 1]).await;
     })
 }
