--- a/crates/broker/src/engine.rs
+++ b/crates/broker/src/engine.rs
@@ -1,4 +1,4 @@
-//! The task that owns the dispatcher and the leaf pools.
+//! The engine: the task that owns the dispatcher and the connection pools of the leaves.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, HashMap};
@@ -37,89 +37,90 @@
 pub enum EngineMessage {
     /// A caller submitted a query.
     Submit {
-        /// The query; its deadline is set here.
+        /// The query; the engine sets its deadline.
         submission: Submission,
-        /// Time until an answer is of no use; none takes that of the class.
+        /// Time until the deadline; none takes the default of the class.
         deadline: Option<Duration>,
         /// Body of the query.
         body: Bytes,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<QueryOutcome>,
     },
-    /// A caller hung up.
+    /// A caller disconnected before the outcome of this query.
     CallerGone(QueryId),
-    /// A caller wants a request key.
+    /// A caller requests a request key.
     IssueKey {
         /// The caller.
         caller: CallerName,
-        /// Where the key goes.
+        /// Receives the key, or the refusal.
         reply: oneshot::Sender<Result<RequestKey, Refusal>>,
     },
     /// A caller's connection opened.
     CallerConnected,
-    /// A caller's connection closed; whatever it was owed is written or lost.
+    /// A caller's connection closed; its responses are written or lost.
     CallerDisconnected,
-    /// Metrics are read.
+    /// Metrics are requested.
     RenderMetrics {
-        /// Where their text goes.
+        /// Receives them in the OpenMetrics text format.
         reply: oneshot::Sender<String>,
     },
-    /// News of a leaf connection.
+    /// An event of a leaf connection.
     Leaf(LeafMessage),
-    /// A newer catalog.
+    /// A newer catalog is in force.
     CatalogChanged(Arc<Catalog>),
-    /// The totals of charges are read.
+    /// The totals of charges are requested.
     ReadCharges {
-        /// Where they go.
+        /// Receives the totals.
         reply: oneshot::Sender<ChargeTotals>,
     },
-    /// Load and refusals are read.
+    /// Load and refusals by service are requested.
     ReadOverload {
-        /// Where they go.
+        /// Receives one report per service.
         reply: oneshot::Sender<Vec<OverloadReport>>,
     },
-    /// The brokers of a service admit no class lower than this one.
+    /// The admission threshold of a service changed; it applies to all brokers.
     ThresholdChanged {
         /// The service.
         service: ServiceName,
-        /// Priority of the lowest class admitted.
+        /// Priority of the lowest class that is still admitted.
         lowest_admitted: u8,
     },
-    /// New queries may start until then.
+    /// The freshness lease was renewed: queries may start until this time.
     FreshUntil(Timestamp),
-    /// The brokers that share the leaves.
+    /// The list of brokers that share the leaves changed.
     BrokersChanged(Arc<[BrokerEntry]>),
-    /// Leaves that say that they are leaving, all of them.
+    /// All leaves that the platform reports as leaving.
     PlatformLeaving(Vec<LeafId>),
     /// A planned stop begins.
     Stop,
 }
 
-struct WaitingCaller {
-    /// None once the caller hung up.
+/// A query without an outcome, and the caller that waits for it.
+struct PendingQuery {
+    /// None once the caller has disconnected.
     reply: Option<oneshot::Sender<QueryOutcome>>,
     context: Rc<RequestContext>,
     labels: ClassLabels,
     arrived: Timestamp,
 }
 
-/// The state of the engine.
+/// State of the engine.
 pub struct Engine {
     clock: Clock,
     dispatcher: Dispatcher,
-    callers: HashMap<QueryId, WaitingCaller>,
+    pending: HashMap<QueryId, PendingQuery>,
     pools: BTreeMap<LeafId, LeafPool>,
     connections_per_leaf: usize,
     next_connection: u64,
     run: Rc<str>,
     messages: Tx<EngineMessage>,
     metrics: Metrics,
-    open_callers: usize,
+    open_connections: usize,
     stopping: bool,
 }
 
 impl Engine {
-    /// An engine without a catalog; `run` numbers this run of the process.
+    /// Creates an engine without a catalog; `run` identifies this run of the process.
     pub fn new(
         settings: &BrokerSettings,
         run: BrokerRun,
@@ -136,25 +137,25 @@
                 dispatcher_settings(settings, run),
                 Box::new(Pcg64::from_rng(&mut random)),
             ),
-            callers: HashMap::new(),
+            pending: HashMap::new(),
             pools: BTreeMap::new(),
             connections_per_leaf: settings.connections_per_leaf as usize,
             next_connection: 0,
             run: Rc::from(format!("{}-{:016x}", settings.name, run.0)),
             messages,
             metrics: Metrics::new(),
-            open_callers: 0,
+            open_connections: 0,
             stopping: false,
         }
     }
 
-    /// Handles messages until a planned stop has finished what was in flight; gives the totals of
-    /// charges.
+    /// Handles messages until a planned stop has drained the queries in flight; returns the totals
+    /// of charges.
     pub async fn run(mut self, mut messages: Rx<EngineMessage>) -> ChargeTotals {
         let mut effects = Vec::new();
-        // Nothing is served before the first lease.
+        // No query is served before the first lease.
         self.advance(Event::FreshUntil(Timestamp::ZERO), &mut effects);
-        while !self.finished() {
+        while !self.is_drained() {
             match self.next_message(&mut messages).await {
                 Some(message) => self.handle(message, &mut effects),
                 None => self.advance(Event::TimerElapsed, &mut effects),
@@ -163,11 +164,11 @@
         self.dispatcher.charges().counters().clone()
     }
 
-    fn finished(&self) -> bool {
-        self.stopping && self.dispatcher.active() == 0 && self.open_callers == 0
+    fn is_drained(&self) -> bool {
+        self.stopping && self.dispatcher.active() == 0 && self.open_connections == 0
     }
 
-    /// The next message, or none when a timer is due first.
+    /// The next message; none if a timer is due first.
     async fn next_message(&self, messages: &mut Rx<EngineMessage>) -> Option<EngineMessage> {
         let due = self.dispatcher.next_timer();
         if due.is_some_and(|due| due <= self.clock.now()) {
@@ -190,13 +191,13 @@
             }
             EngineMessage::CallerGone(query) => self.caller_gone(query, effects),
             EngineMessage::IssueKey { caller, reply } => {
-                // The caller may have hung up; its key then expires.
+                // Fails if the caller has disconnected; the key then expires.
                 let _ = reply.send(self.dispatcher.issue_key(self.clock.now(), caller));
             }
-            EngineMessage::CallerConnected => self.open_callers += 1,
-            EngineMessage::CallerDisconnected => self.open_callers -= 1,
+            EngineMessage::CallerConnected => self.open_connections += 1,
+            EngineMessage::CallerDisconnected => self.open_connections -= 1,
             EngineMessage::RenderMetrics { reply } => {
-                // The reader may have hung up.
+                // Fails if the reader has disconnected.
                 let _ = reply.send(self.metrics.render(&self.dispatcher));
             }
             EngineMessage::Leaf(message) => self.leaf_message(message, effects),
@@ -205,11 +206,11 @@
                 self.update_pools(&catalog);
             }
             EngineMessage::ReadCharges { reply } => {
-                // The link may have been lost just now.
+                // Fails if the link was lost or the report timed out.
                 let _ = reply.send(self.dispatcher.charges().counters().clone());
             }
             EngineMessage::ReadOverload { reply } => {
-                // The link may have been lost just now.
+                // Fails if the link was lost or the report timed out.
                 let _ = reply.send(self.dispatcher.overload());
             }
             EngineMessage::ThresholdChanged { service, lowest_admitted } => {
@@ -232,10 +233,10 @@
         }
     }
 
-    /// When an answer is of no use any more; a class that is not known is refused anyway.
-    fn deadline(&self, submission: &Submission, named: Option<Duration>) -> Timestamp {
+    /// Absolute deadline of a query. An unknown class has none; the dispatcher refuses the query.
+    fn deadline(&self, submission: &Submission, from_caller: Option<Duration>) -> Timestamp {
         let class = self.dispatcher.catalog().class(&submission.service, &submission.class);
-        let deadline = named.or(class.map(|class| class.default_deadline));
+        let deadline = from_caller.or(class.map(|class| class.default_deadline));
         self.clock.now().after(deadline.unwrap_or_default())
     }
 
@@ -253,19 +254,20 @@
         let now = self.clock.now();
         let context = Rc::new(RequestContext { body, priority });
         let labels = ClassLabels::new(catalog, &submission);
-        let caller = WaitingCaller { reply: Some(reply), context, labels, arrived: now };
-        self.callers.insert(submission.query, caller);
+        let caller = PendingQuery { reply: Some(reply), context, labels, arrived: now };
+        self.pending.insert(submission.query, caller);
         self.advance(Event::Submitted(submission), effects);
     }
 
-    /// A query under a request key goes on without its caller.
+    /// Cancels the query of a disconnected caller, unless it has a request key: then it keeps
+    /// running so that a resend gets its outcome.
     fn caller_gone(&mut self, query: QueryId, effects: &mut Vec<Effect>) {
         self.advance(Event::CallerGone(query), effects);
         if self.dispatcher.is_active(query) {
-            if let Some(caller) = self.callers.get_mut(&query) {
+            if let Some(caller) = self.pending.get_mut(&query) {
                 caller.reply = None;
             }
-        } else if let Some(caller) = self.callers.remove(&query) {
+        } else if let Some(caller) = self.pending.remove(&query) {
             self.metrics.query_cancelled(&caller.labels);
         }
     }
@@ -291,7 +293,8 @@
         }
     }
 
-    /// Drops the pools of leaves that left or moved; new pools open with the first request.
+    /// Drops the pools of leaves that left the catalog or changed address; a new pool opens with
+    /// the first request.
     fn update_pools(&mut self, catalog: &Catalog) {
         self.pools.retain(|id, pool| {
             catalog.leaves().get(id).is_some_and(|leaf| leaf.address == pool.address())
@@ -342,20 +345,20 @@
     }
 
     fn answer(&mut self, query: QueryId, outcome: QueryOutcome) {
-        let Some(caller) = self.callers.remove(&query) else {
+        let Some(caller) = self.pending.remove(&query) else {
             return;
         };
         let latency = self.clock.now().since(caller.arrived);
         self.metrics.query_ended(&caller.labels, &outcome, latency);
         if let Some(reply) = caller.reply {
-            // The caller may have hung up just now.
+            // Fails if the caller has disconnected.
             let _ = reply.send(outcome);
         }
     }
 
     fn send(&mut self, sending: Sending, time_left: Duration) {
         self.metrics.leaf_request(sending.kind);
-        let context = self.callers.get(&sending.request.query).map(|caller| caller.context.clone());
+        let context = self.pending.get(&sending.request.query).map(|caller| caller.context.clone());
         let work = context.map(|context| {
             LeafWork::Send(WireRequest {
                 request: sending.request,
@@ -372,7 +375,8 @@
         self.next_connection = next_connection;
     }
 
-    /// Reports a request that has nowhere to go; through the queue, so that events stay in order.
+    /// Reports a request without a leaf or context as not sent. The message passes through the
+    /// queue, so that events stay in order.
     fn fail_unsent(&self, leaf: LeafId, request: LeafRequestId) {
         let completion = LeafCompletion::Failed(LeafFailure::NotSent);
         let message = LeafMessage::Completed { leaf, request, completion, draining: None };
@@ -381,8 +385,8 @@
     }
 }
 
-/// Connections to open to a leaf: as many as the settings allow, within this broker's share of
-/// the leaf's own limit.
+/// Maximum number of connections to a leaf: the limit of the settings, within this broker's share
+/// of the leaf's own limit.
 fn connection_limit(dispatcher: &Dispatcher, connections_per_leaf: usize, leaf: LeafId) -> usize {
     dispatcher.connection_limit(leaf).clamp(1, connections_per_leaf)
 }
