--- a/crates/broker/src/metrics/endpoint.rs
+++ b/crates/broker/src/metrics/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint on which metrics are read: `GET /metrics`.
+//! The metrics endpoint, `GET /metrics`.
 
 use bytes::Bytes;
 use gingerkeel_transport::{HttpRequest, HttpResponse, Limits, ServerConnection};
@@ -11,12 +11,12 @@
 
 use crate::engine::EngineMessage;
 
-/// Path of the metrics.
+/// Path of the endpoint.
 const PATH: &str = "/metrics";
-/// Type of the text format.
+/// Content type of the OpenMetrics text format.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves metrics for ever.
+/// Serves metrics until the process ends.
 pub async fn serve(listener: TcpListener, engine: Tx<EngineMessage>) {
     loop {
         match listener.accept().await {
