--- a/crates/broker/src/metrics/mod.rs
+++ b/crates/broker/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics of a broker and the endpoint on which they are read.
+//! Metrics of a broker and the endpoint that serves them.
 
 mod endpoint;
 mod labels;
@@ -20,7 +20,7 @@
 
 /// Upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.001;
-/// Latency buckets; each is twice as wide as the one before, up to 65 seconds.
+/// Number of latency buckets; each bound is twice the previous one, up to 65 seconds.
 const BUCKETS: u16 = 17;
 
 /// Metrics of a broker, owned by its engine.
@@ -40,7 +40,7 @@
 }
 
 impl Metrics {
-    /// Metrics that are all zero.
+    /// Creates metrics with all values at zero.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("gingerkeel_broker"),
@@ -74,14 +74,14 @@
         registry.register("configuration_revision", help, self.revision.clone());
     }
 
-    /// Counts a query that has its outcome.
+    /// Counts a query by its outcome and observes its latency.
     pub fn query_ended(&self, labels: &ClassLabels, outcome: &QueryOutcome, latency: Duration) {
         let outcome = OutcomeLabels::new(labels, outcome_name(outcome));
         self.queries.get_or_create(&outcome).inc();
         self.latency.get_or_create(labels).observe(latency.as_secs_f64());
     }
 
-    /// Counts a query whose caller hung up.
+    /// Counts a query whose caller disconnected.
     pub fn query_cancelled(&self, labels: &ClassLabels) {
         self.queries.get_or_create(&OutcomeLabels::new(labels, "cancelled")).inc();
     }
@@ -91,11 +91,12 @@
         self.leaf_requests.get_or_create(&AttemptLabels { kind: attempt_kind(kind) }).inc();
     }
 
-    /// All metrics in the OpenMetrics text format, those of the dispatcher as they are now.
+    /// Updates the gauges from the dispatcher and encodes all metrics in the OpenMetrics text
+    /// format.
     pub fn render(&self, dispatcher: &Dispatcher) -> String {
         self.observe(dispatcher);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
