--- a/crates/broker/src/metrics/labels.rs
+++ b/crates/broker/src/metrics/labels.rs
@@ -1,13 +1,13 @@
-//! Labels of metrics; each has few values, whatever callers send.
+//! Metric labels. Their cardinality is bounded, whatever callers send.
 
 use gingerkeel_domain::catalog::Catalog;
 use gingerkeel_domain::query::{AttemptKind, QueryOutcome, Submission};
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// Stands for services and classes that are not defined.
+/// Label value of undefined services and classes.
 const UNKNOWN: &str = "unknown";
 
-/// A class of a service.
+/// Labels of a query: service and class.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ClassLabels {
     service: String,
@@ -15,7 +15,8 @@
 }
 
 impl ClassLabels {
-    /// Labels of a query; names that the catalog does not know are not taken over.
+    /// Labels of a query; names that are not in the catalog become [`UNKNOWN`], which bounds the
+    /// cardinality.
     pub fn new(catalog: &Catalog, submission: &Submission) -> Self {
         let (service, class) = (&submission.service, &submission.class);
         let known = catalog.class(service, class).is_some();
@@ -24,7 +25,7 @@
     }
 }
 
-/// A class of a service and an outcome.
+/// Labels of a finished query: service, class and outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct OutcomeLabels {
     service: String,
@@ -38,14 +39,14 @@
     }
 }
 
-/// A queue of a service.
+/// Labels of an admission queue: service and priority.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct WaitingLabels {
     pub(super) service: String,
     pub(super) priority: u32,
 }
 
-/// What a request to a leaf was sent for.
+/// Label of a leaf request: primary, retry or hedge.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct AttemptLabels {
     pub(super) kind: &'static str,
