--- a/crates/broker/src/feed.rs
+++ b/crates/broker/src/feed.rs
@@ -1,4 +1,5 @@
-//! The broker's link to a control process: its catalog, its freshness lease and its peers.
+//! The broker's link to a control process, which feeds it the catalog, the freshness lease and the
+//! list of brokers.
 
 mod reports;
 
@@ -40,26 +41,26 @@
 use crate::known_controls::KnownControls;
 use crate::route_reports::{CrashReport, LinkNumber, LinkUsage, RouteReports, SlowLeaves};
 
-/// Bound of the first pause before another control process is asked.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// Time that a control process has to take a frame.
-const WRITE_LIMIT: Duration = Duration::from_millis(1500);
+/// Upper bound of the first backoff before another control process is tried.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Timeout for writing a frame.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 quick_error! {
     /// Why a link ended.
     #[derive(Debug)]
     enum LinkError {
-        /// The peer did not accept the connection in time.
-        ConnectTimedOut {
+        /// A frame was not written in time.
+        WriteTimedOut {
             display("no connection in time: check that the control process runs and is reachable")
         }
-        /// A frame was not understood, or the socket failed.
+        /// A frame could not be decoded, or the socket failed.
         Protocol(error: ProtocolError) {
             from()
             from(error: io::Error) -> (ProtocolError::from(error))
             display("{error}")
         }
-        /// The feed broke a rule.
+        /// The feed violated the protocol.
         Feed(fault: FeedFault) {
             display("{fault}")
         }
@@ -70,7 +71,7 @@
     }
 }
 
-/// Follows the catalog for ever, changing to the next control process when one fails.
+/// Follows the catalog until the process ends, switching to another control process on failure.
 pub async fn follow(
     settings: BrokerSettings,
     run: BrokerRun,
@@ -80,7 +81,7 @@
     routes: Option<Tx<RouteUpdate>>,
 ) {
     let longest_pause = Duration::from_millis(settings.control_pause_ms.into());
-    let mut back_off = BackOff::new(FIRST_PAUSE.min(longest_pause), longest_pause);
+    let mut back_off = BackOff::new(INITIAL_BACKOFF.min(longest_pause), longest_pause);
     let mut link = Link {
         follower: FollowerState::new(FollowerSettings::default()),
         brokers: BrokerList::default(),
@@ -106,9 +107,9 @@
         };
         lost = Some(control);
         let fresh_before = link.follower.is_fresh(clock.now());
-        let Err(error) = link.follow_one(stream).await;
-        link.tell(FollowerEvent::Disconnected, &mut Vec::new());
-        link.tell_routes(RouteUpdate::LinkDown);
+        let Err(error) = link.follow_link(stream).await;
+        link.notify_follower(FollowerEvent::Disconnected, &mut Vec::new());
+        link.notify_routes(RouteUpdate::LinkDown);
         warn!(event = "control_link_lost", %control, %error);
         if fresh_before || link.follower.is_fresh(clock.now()) {
             back_off.succeeded();
@@ -118,26 +119,26 @@
     }
 }
 
-/// What other tasks tell the feed.
+/// Inputs of the feed from other tasks.
 pub struct FeedInputs {
-    /// The last totals, once the process ends.
+    /// The final totals, sent when the process ends.
     pub last_reports: Rx<LastReport>,
-    /// The addresses of control processes, when the settings have changed.
+    /// New addresses of control processes after a change of the settings.
     pub controls: Rx<Vec<SocketAddr>>,
-    /// What the serving of routes has to report.
+    /// Reports of the route server.
     pub route_reports: RouteReports,
 }
 
-/// What ends with the process: its last totals, to be reported before it does.
+/// The final totals of the process, to be recorded before it exits.
 pub struct LastReport {
     /// Totals of charges.
     pub totals: ChargeTotals,
-    /// Told once all of them are recorded.
+    /// Notified once the control process has recorded all of them.
     pub recorded: oneshot::Sender<()>,
 }
 
-/// What a link waits for.
-enum News {
+/// An event on a link.
+enum LinkEvent {
     Message(Result<FeedMessage, LinkError>),
     LastReport(LastReport),
     SlowLeaves(SlowLeaves),
@@ -147,43 +148,43 @@
     TimerElapsed,
 }
 
-/// News of routes and leaves, for a broker that serves routes.
+/// An update for the route server.
 pub enum RouteUpdate {
-    /// The configuration of routes.
+    /// A new configuration of routes.
     Routes(RouteConfiguration),
-    /// The whole list of leaves.
+    /// The complete leaf directory.
     WholeDirectory(LeafDirectory),
-    /// A change of the list.
+    /// A change of the leaf directory.
     DirectoryChange(DirectoryDelta),
-    /// What is held was confirmed, and counts until then.
+    /// The freshness lease was renewed until this time.
     FreshUntil(Timestamp),
-    /// Leaves that many brokers find slow.
+    /// Leaves that many brokers report as slow.
     LeafWarnings(Vec<LeafWarning>),
-    /// Requests under which leaves have ended, as other brokers found.
+    /// Crash findings of other brokers.
     CrashFindings(Vec<CrashFinding>),
-    /// Requests that the replicated state refuses, or does not any more.
+    /// Requests that the replicated state refuses, or no longer refuses.
     RefusedRequests {
-        /// What it has of each.
+        /// The finding of each request.
         findings: Vec<CrashFinding>,
-        /// Whether no others are refused.
+        /// Whether the list is complete: no other request is refused.
         is_whole: bool,
     },
-    /// The answer to a question for a trial.
+    /// The answer to a request for a trial.
     Trial {
-        /// Number of the question.
+        /// Ticket of the request for a trial.
         ticket: u64,
-        /// Whether the request may be sent to one leaf.
+        /// Whether the suspected request may be sent to one leaf.
         granted: bool,
     },
-    /// A link to a control process is up.
+    /// A link to a control process was established.
     LinkUp(LinkNumber),
-    /// It is lost.
+    /// The link to the control process was lost.
     LinkDown,
-    /// How the quotas of tenants stand over all brokers.
+    /// Usage of the tenants' quotas over all brokers.
     Usage(FleetUsage),
-    /// The zones whose leaves get no new work, all of them.
+    /// All evacuated zones; their leaves get no new requests.
     Evacuated(BTreeSet<ZoneName>),
-    /// The newest roll-out of each service.
+    /// The latest roll-out of each service.
     Rollouts(Rollouts),
     /// All brokers that share the leaves.
     Brokers(Vec<KnownBroker>),
@@ -199,7 +200,7 @@
     last_report: Option<LastReport>,
     controls: KnownControls,
     route_reports: RouteReports,
-    /// Number of the link that is up, or was last.
+    /// Number of the current link, or of the last one.
     number: LinkNumber,
     settings: BrokerSettings,
     run: BrokerRun,
@@ -214,106 +215,111 @@
         update: impl FnOnce() -> Result<RouteUpdate, ProtocolError>,
     ) -> Result<(), LinkError> {
         if self.routes.is_some() {
-            self.tell_routes(update()?);
+            self.notify_routes(update()?);
         }
         Ok(())
     }
 
-    fn tell_routes(&self, update: RouteUpdate) {
+    fn notify_routes(&self, update: RouteUpdate) {
         if let Some(routes) = &self.routes {
-            // The task that serves routes lives as long as the process.
+            // The route server lives as long as the process.
             let _ = routes.send(update);
         }
     }
 
-    async fn follow_one(
+    async fn follow_link(
         &mut self,
         stream: TcpStream,
     ) -> Result<std::convert::Infallible, LinkError> {
-        // Small frames must not wait for each other; a socket without the option still works.
+        // Nagle's algorithm would delay small frames; a socket without the option still works.
         let _ = stream.set_nodelay(true);
         let (read_half, mut writer) = stream.into_split();
         let (sender, mut messages) = unbounded::channel();
         monoio::spawn(read_messages(read_half, sender));
-        let Err(error) = self.converse(&mut messages, &mut writer).await;
-        // Ends the reading task too; the peer may have closed the connection already.
+        let Err(error) = self.run_link(&mut messages, &mut writer).await;
+        // Ends the reading task, too; fails if the peer has closed the connection.
         let _ = writer.shutdown().await;
         Err(error)
     }
 
-    async fn converse(
+    async fn run_link(
         &mut self,
         messages: &mut Rx<Result<FeedMessage, ProtocolError>>,
         writer: &mut OwnedWriteHalf<TcpStream>,
     ) -> Result<std::convert::Infallible, LinkError> {
         let mut effects = Vec::new();
-        self.tell(FollowerEvent::Connected, &mut effects);
+        self.notify_follower(FollowerEvent::Connected, &mut effects);
         self.number.0 += 1;
-        self.tell_routes(RouteUpdate::LinkUp(self.number));
-        // What the last link left without a receipt is sent at once.
+        self.notify_routes(RouteUpdate::LinkUp(self.number));
+        // Reports that the last link left unacknowledged are sent at once.
         self.reports_due = self.clock.now();
         loop {
-            self.carry_out(&mut effects, writer).await?;
+            self.apply_effects(&mut effects, writer).await?;
             if self.reports_due <= self.clock.now() {
                 self.report_charges(writer).await?;
                 self.report_overload(writer).await?;
             }
-            match self.next_news(messages).await {
-                News::Message(message) => self.receive(message?, &mut effects)?,
-                News::LastReport(report) => {
+            match self.next_event(messages).await {
+                LinkEvent::Message(message) => self.receive(message?, &mut effects)?,
+                LinkEvent::LastReport(report) => {
                     self.last_report = Some(report);
-                    self.hurry_last_report();
+                    self.expedite_last_report();
                 }
-                News::SlowLeaves(report) => self.report_slow_leaves(writer, &report).await?,
-                News::CrashReport(found) => self.report_crash(writer, found).await?,
-                News::Usage(usage) => self.report_usage(writer, &usage).await?,
-                News::Rollouts(reports) => {
+                LinkEvent::SlowLeaves(report) => self.report_slow_leaves(writer, &report).await?,
+                LinkEvent::CrashReport(found) => self.report_crash(writer, found).await?,
+                LinkEvent::Usage(usage) => self.report_usage(writer, &usage).await?,
+                LinkEvent::Rollouts(reports) => {
                     let reports = encode_document(&reports)?.into();
                     send(writer, &SubscriberMessage::Rollouts { reports }).await?
                 }
-                News::TimerElapsed => self.tell(FollowerEvent::TimerElapsed, &mut effects),
+                LinkEvent::TimerElapsed => {
+                    self.notify_follower(FollowerEvent::TimerElapsed, &mut effects)
+                }
             }
         }
     }
 
-    async fn next_news(&mut self, messages: &mut Rx<Result<FeedMessage, ProtocolError>>) -> News {
+    async fn next_event(
+        &mut self,
+        messages: &mut Rx<Result<FeedMessage, ProtocolError>>,
+    ) -> LinkEvent {
         let due = self.follower.next_timer().unwrap_or_else(|| self.clock.now());
         let due = due.min(self.reports_due);
         monoio::select! {
             message = messages.recv() => match message {
-                Some(message) => News::Message(message.map_err(LinkError::from)),
-                None => News::Message(Err(LinkError::Closed)),
+                Some(message) => LinkEvent::Message(message.map_err(LinkError::from)),
+                None => LinkEvent::Message(Err(LinkError::Closed)),
             },
-            report = next_last_report(&mut self.last_reports) => News::LastReport(report),
+            report = next_last_report(&mut self.last_reports) => LinkEvent::LastReport(report),
             report = self.route_reports.slow_leaves.recv() => match report {
-                Some(report) => News::SlowLeaves(report),
+                Some(report) => LinkEvent::SlowLeaves(report),
                 None => std::future::pending().await,
             },
             found = self.route_reports.crash_reports.recv() => match found {
-                Some(found) => News::CrashReport(found),
-                // Nothing serves routes in this process.
+                Some(found) => LinkEvent::CrashReport(found),
+                // This process serves no routes.
                 None => std::future::pending().await,
             },
             usage = self.route_reports.usage.recv() => match usage {
-                Some(usage) => News::Usage(usage),
+                Some(usage) => LinkEvent::Usage(usage),
                 None => std::future::pending().await,
             },
             reports = self.route_reports.rollouts.recv() => match reports {
-                Some(reports) => News::Rollouts(reports),
+                Some(reports) => LinkEvent::Rollouts(reports),
                 None => std::future::pending().await,
             },
-            _ = sleep(self.clock.until(due)) => News::TimerElapsed,
+            _ = sleep(self.clock.until(due)) => LinkEvent::TimerElapsed,
         }
     }
 
-    /// With a planned stop, each receipt is followed by the next report at once.
-    fn hurry_last_report(&mut self) {
+    /// During a planned stop, the next report is due at once after each acknowledgement.
+    fn expedite_last_report(&mut self) {
         if self.last_report.is_some() {
             self.reports_due = self.clock.now();
         }
     }
 
-    fn tell(&mut self, event: FollowerEvent, effects: &mut Vec<FollowerEffect>) {
+    fn notify_follower(&mut self, event: FollowerEvent, effects: &mut Vec<FollowerEffect>) {
         self.follower.handle(self.clock.now(), event, effects);
     }
 
@@ -325,17 +331,17 @@
         match message {
             FeedMessage::FullCatalog { catalog } => {
                 let catalog = decode_document(&catalog.bytes)?;
-                self.tell(FollowerEvent::FullCatalog(catalog), effects);
+                self.notify_follower(FollowerEvent::FullCatalog(catalog), effects);
             }
             FeedMessage::Change { revision, change } => {
                 let change = decode_document(&change.bytes)?;
                 let revision = Revision(revision);
-                self.tell(FollowerEvent::Change { revision, change }, effects);
+                self.notify_follower(FollowerEvent::Change { revision, change }, effects);
             }
             FeedMessage::Lease { ticket, revision, duration_milliseconds } => {
                 let duration = Duration::from_millis(duration_milliseconds.into());
                 let grant = LeaseGrant { ticket, revision: Revision(revision), duration };
-                self.tell(FollowerEvent::Granted(grant), effects);
+                self.notify_follower(FollowerEvent::Granted(grant), effects);
             }
             FeedMessage::Brokers { delta } => {
                 self.brokers.apply(unpack_document(&delta.bytes)?);
@@ -388,17 +394,17 @@
             }
             FeedMessage::ChargesRecorded { run, sequence } => {
                 self.charges.recorded(run, sequence);
-                self.hurry_last_report();
+                self.expedite_last_report();
             }
             FeedMessage::RunSettled { run, sequence } => {
                 self.charges.run_settled(run, sequence, rand::rng().random());
-                self.hurry_last_report();
+                self.expedite_last_report();
             }
         }
         Ok(())
     }
 
-    async fn carry_out(
+    async fn apply_effects(
         &mut self,
         effects: &mut Vec<FollowerEffect>,
         writer: &mut OwnedWriteHalf<TcpStream>,
@@ -452,12 +458,12 @@
 async fn next_last_report(reports: &mut Rx<LastReport>) -> LastReport {
     match reports.recv().await {
         Some(report) => report,
-        // Whoever could ask for one has ended.
+        // No sender is left.
         None => std::future::pending().await,
     }
 }
 
-/// Reads frames in a task of its own, so that a timer never cuts one in half.
+/// Reads frames in a separate task, since a cancelled read would lose part of a frame.
 async fn read_messages(
     read_half: OwnedReadHalf<TcpStream>,
     messages: Tx<Result<FeedMessage, ProtocolError>>,
@@ -477,9 +483,9 @@
     message: &SubscriberMessage,
 ) -> Result<(), LinkError> {
     let frame = encode_frame(message)?;
-    let (result, _) = timeout(WRITE_LIMIT, writer.write_all(frame))
+    let (result, _) = timeout(WRITE_TIMEOUT, writer.write_all(frame))
         .await
-        .map_err(|_| LinkError::ConnectTimedOut)?;
+        .map_err(|_| LinkError::WriteTimedOut)?;
     result?;
     Ok(())
 }
