--- a/crates/broker/src/feed/reports.rs
+++ b/crates/broker/src/feed/reports.rs
@@ -1,4 +1,4 @@
-//! What a broker reports on its link.
+//! Reports of a broker to the control process.
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
 use crate::engine::EngineMessage;
 use crate::route_reports::{CrashReport, LinkUsage, SlowLeaves};
 
-/// Time for which a report of slow leaves may wait for a link: the ages in it are off by the wait.
-const SLOW_LEAVES_LIFE: Duration = Duration::from_millis(500);
+/// Maximum age of a report of slow leaves; the ages in it are off by the time that it waited.
+const SLOW_LEAVES_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// Time that the engine has to tell its totals; it ends with the process.
-const ENGINE_LIMIT: Duration = Duration::from_millis(500);
+/// Timeout for a reply of the engine, which gives none while it ends.
+const ENGINE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two reports of charges and of overload: what a killed broker may not have reported.
+/// Interval of the reports of charges and overload; a killed broker loses at most what it charged
+/// in one interval.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Link {
-    /// Sends what changed, or once more what has no receipt yet: a resend counts nothing twice.
+    /// Sends changed totals, or resends unacknowledged ones; a resend counts nothing twice.
     pub(super) async fn report_charges(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
@@ -34,7 +35,7 @@
         };
         let Some(report) = self.charges.report(&totals) else {
             if let Some(last) = self.last_report.take() {
-                // The process may have given up waiting.
+                // Fails if the process has stopped waiting.
                 let _ = last.recorded.send(());
             }
             return Ok(());
@@ -44,20 +45,21 @@
         send(writer, &SubscriberMessage::Charges { sequence, run, counters }).await
     }
 
-    /// Sends what was seen of slow leaves, unless it has waited for a link too long to be of use.
+    /// Sends a report of slow leaves, unless it is older than [`SLOW_LEAVES_MAX_AGE`].
     pub(super) async fn report_slow_leaves(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
         report: &SlowLeaves,
     ) -> Result<(), LinkError> {
-        if self.clock.now().since(report.at) > SLOW_LEAVES_LIFE {
+        if self.clock.now().since(report.at) > SLOW_LEAVES_MAX_AGE {
             return Ok(());
         }
         let observations = encode_document(&report.observations)?.into();
         send(writer, &SubscriberMessage::SlowLeaves { observations }).await
     }
 
-    /// Sends what was found of a request, or asks for a trial of it, at once: each try may cost leaves.
+    /// Sends a crash finding, or asks for a trial of the request. This is never delayed, since each
+    /// attempt may crash leaves.
     pub(super) async fn report_crash(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
@@ -80,7 +82,7 @@
         send(writer, &message).await
     }
 
-    /// Sends what tenants used, unless it was meant for a link that is lost.
+    /// Sends the usage of the tenants' quotas, unless the report was meant for an earlier link.
     pub(super) async fn report_usage(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
@@ -93,7 +95,7 @@
         send(writer, &SubscriberMessage::Usage { report }).await
     }
 
-    /// Sends what there is to say of overload.
+    /// Sends the overload reports that are due; none during a planned stop.
     pub(super) async fn report_overload(
         &mut self,
         writer: &mut OwnedWriteHalf<TcpStream>,
@@ -103,7 +105,7 @@
         }
         let (reply, receiver) = oneshot::channel();
         self.send_engine(EngineMessage::ReadOverload { reply });
-        let Ok(Ok(measured)) = timeout(ENGINE_LIMIT, receiver).await else {
+        let Ok(Ok(measured)) = timeout(ENGINE_TIMEOUT, receiver).await else {
             return Ok(());
         };
         for report in self.overload.reports(measured) {
@@ -113,13 +115,13 @@
         Ok(())
     }
 
-    /// The totals of the process; none while the engine ends.
+    /// Totals of the process; none if the engine does not answer in time.
     async fn charge_totals(&self) -> Option<ChargeTotals> {
         if let Some(last) = &self.last_report {
             return Some(last.totals.clone());
         }
         let (reply, receiver) = oneshot::channel();
         self.send_engine(EngineMessage::ReadCharges { reply });
-        timeout(ENGINE_LIMIT, receiver).await.ok()?.ok()
+        timeout(ENGINE_TIMEOUT, receiver).await.ok()?.ok()
     }
 }
