--- a/crates/broker/src/route_reports.rs
+++ b/crates/broker/src/route_reports.rs
@@ -1,7 +1,7 @@
-//! What the serving of routes reports to the control process, on its way to the feed.
+//! Channels for reports from the route server to the feed, which sends them to the control process.
 //!
-//! Each way holds one report; who reports waits while nobody takes it. Requests that crash leaves do not wait: there are few, and each try
-//! of one may cost leaves.
+//! Each channel holds one report; a sender waits until the feed has received it. The channel of
+//! crash reports is unbounded: they are few, and each further attempt may crash leaves.
 
 use gingerkeel_domain::crash_suspects::CrashFinding;
 use gingerkeel_domain::leaf_warnings::LeafObservation;
@@ -10,29 +10,29 @@
 use gingerkeel_domain::time::Timestamp;
 use local_sync::mpsc::{bounded, unbounded};
 
-/// Reports that wait for the feed.
-const WAITING_REPORTS: usize = 1;
+/// Capacity of a bounded channel.
+const CHANNEL_CAPACITY: usize = 1;
 
-/// Leaves that were slow.
+/// A report of slow leaves.
 pub struct SlowLeaves {
-    /// When this was told: ages count from then.
+    /// When the report was made; the ages in it are relative to this time.
     pub at: Timestamp,
-    /// What was seen of each.
+    /// The observations of each leaf.
     pub observations: Vec<LeafObservation>,
 }
 
-/// A request under which leaves have ended.
+/// A report of a request during which leaves have crashed.
 pub struct CrashReport {
-    /// When this was told: the time of the finding counts from then.
+    /// When the report was made; `finding.for_ms` is relative to this time.
     pub at: Timestamp,
-    /// What was found.
+    /// The finding.
     pub finding: CrashFinding,
-    /// Number of the question where the broker asks for a trial of the request.
+    /// Ticket, if the broker asks for a trial of the request.
     pub trial: Option<u64>,
 }
 
 impl CrashReport {
-    /// The finding as it is now; none when its time is over.
+    /// The finding with its remaining time; none once it has expired.
     pub fn current(self, now: Timestamp) -> Option<CrashFinding> {
         let passed = now.since(self.at).as_millis() as u32;
         let for_ms = self.finding.for_ms.checked_sub(passed).filter(|left| *left > 0)?;
@@ -40,48 +40,48 @@
     }
 }
 
-/// Number of a link to a control process within this run.
+/// Number of a link to a control process, unique within the broker run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkNumber(pub u64);
 
-/// What tenants used of their quotas, for the control process at the end of one link. It is of no use on
-/// another link: what it counts is reported anew there.
+/// Usage of the tenants' quotas, for one link only: on the next link the same usage is reported
+/// again.
 pub struct LinkUsage {
-    /// The link.
+    /// The link on which the report may be sent.
     pub link: LinkNumber,
-    /// The report.
+    /// Usage of each tenant.
     pub report: UsageReport,
 }
 
-/// Where the serving of routes reports.
+/// Senders of reports, for the route server.
 pub struct RouteReporters {
-    /// Leaves that were slow.
+    /// Reports of slow leaves.
     pub slow_leaves: bounded::Tx<SlowLeaves>,
-    /// Requests under which leaves have ended.
+    /// Crash reports.
     pub crash_reports: unbounded::Tx<CrashReport>,
-    /// What tenants used of their quotas.
+    /// Usage of the tenants' quotas.
     pub usage: bounded::Tx<LinkUsage>,
-    /// What came to light of roll-outs.
+    /// Reports on roll-outs.
     pub rollouts: bounded::Tx<Vec<RolloutReport>>,
 }
 
-/// Where the feed takes the reports.
+/// Receivers of reports, for the feed.
 pub struct RouteReports {
-    /// Leaves that were slow.
+    /// Reports of slow leaves.
     pub slow_leaves: bounded::Rx<SlowLeaves>,
-    /// Requests under which leaves have ended.
+    /// Crash reports.
     pub crash_reports: unbounded::Rx<CrashReport>,
-    /// What tenants used of their quotas.
+    /// Usage of the tenants' quotas.
     pub usage: bounded::Rx<LinkUsage>,
-    /// What came to light of roll-outs.
+    /// Reports on roll-outs.
     pub rollouts: bounded::Rx<Vec<RolloutReport>>,
 }
 
-/// The ways from the serving of routes to the feed.
+/// Creates the channels from the route server to the feed.
 pub fn channels() -> (RouteReporters, RouteReports) {
-    let (slow_leaves_sender, slow_leaves) = bounded::channel(WAITING_REPORTS);
-    let (usage_sender, usage) = bounded::channel(WAITING_REPORTS);
-    let (rollouts_sender, rollouts) = bounded::channel(WAITING_REPORTS);
+    let (slow_leaves_sender, slow_leaves) = bounded::channel(CHANNEL_CAPACITY);
+    let (usage_sender, usage) = bounded::channel(CHANNEL_CAPACITY);
+    let (rollouts_sender, rollouts) = bounded::channel(CHANNEL_CAPACITY);
     let (crashes_sender, crash_reports) = unbounded::channel();
     let reporters = RouteReporters {
         slow_leaves: slow_leaves_sender,
