--- a/crates/broker/src/feed.rs
+++ b/crates/broker/src/feed.rs
@@ -101,7 +101,7 @@
     };
     let mut lost: Option<SocketAddr> = None;
     loop {
-        let (control, stream) = match dial_nearest(&link.controls.named_but(lost)).await {
+        let (control, stream) = match dial_nearest(&link.controls.configured_except(lost)).await {
             Some(connected) => connected,
             None => dial(|tries| link.controls.next(tries), &mut back_off).await,
         };
--- a/crates/broker/src/known_controls.rs
+++ b/crates/broker/src/known_controls.rs
@@ -1,4 +1,4 @@
-//! The control processes that a broker may turn to.
+//! Addresses of the control processes that a broker can connect to.
 
 use std::net::SocketAddr;
 
@@ -6,54 +6,56 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-/// Those that the settings name, and those that were learnt.
+/// Addresses from the settings, and addresses learned from control processes.
 pub struct KnownControls {
-    named: Vec<SocketAddr>,
+    configured: Vec<SocketAddr>,
     learned: Vec<SocketAddr>,
-    /// What the settings name, when they have changed.
+    /// New addresses after a change of the settings.
     changes: Rx<Vec<SocketAddr>>,
-    turn: usize,
+    cursor: usize,
 }
 
 impl KnownControls {
-    /// Those that the settings name at the start. Brokers begin their turns at different ones, so that they spread.
-    pub fn new(named: Vec<SocketAddr>, changes: Rx<Vec<SocketAddr>>) -> Self {
-        let turn = rand::rng().random_range(0..named.len().max(1));
-        Self { named, learned: Vec::new(), changes, turn }
+    /// Starts with the addresses of the settings, at a random position, so that brokers spread over
+    /// the control processes.
+    pub fn new(configured: Vec<SocketAddr>, changes: Rx<Vec<SocketAddr>>) -> Self {
+        let cursor = rand::rng().random_range(0..configured.len().max(1));
+        Self { configured, learned: Vec::new(), changes, cursor }
     }
 
-    /// These are there, too.
+    /// Replaces the learned addresses.
     pub fn learn(&mut self, learned: Vec<SocketAddr>) {
         self.learned = learned;
     }
 
-    /// Those that the settings name, but for the one that was lost last: it may accept connections and not serve. They
-    /// are in no order, so that of those that are equally near brokers take different ones.
-    pub fn named_but(&mut self, lost: Option<SocketAddr>) -> Vec<SocketAddr> {
-        self.take_changes();
-        let others = self.named.iter().copied().filter(|control| Some(*control) != lost);
+    /// The configured addresses in random order, except the one whose link was lost last: that
+    /// process may accept connections without serving them. The order is random so that brokers
+    /// spread over control processes at the same distance.
+    pub fn configured_except(&mut self, lost: Option<SocketAddr>) -> Vec<SocketAddr> {
+        self.apply_changes();
+        let others = self.configured.iter().copied().filter(|control| Some(*control) != lost);
         let mut others: Vec<SocketAddr> = others.collect();
         others.shuffle(&mut rand::rng());
         others
     }
 
-    /// The one whose turn it is: one that the settings name, and once as many were tried in a row as they name, also
-    /// one that was learnt.
+    /// The next address, round robin over the configured ones; after as many failed attempts in a
+    /// row as there are configured addresses, over the learned ones, too.
     pub fn next(&mut self, tries: usize) -> SocketAddr {
-        self.take_changes();
-        self.turn = self.turn.wrapping_add(1);
-        let named = &self.named;
-        if tries < named.len() {
-            return named[self.turn % named.len()];
+        self.apply_changes();
+        self.cursor = self.cursor.wrapping_add(1);
+        let configured = &self.configured;
+        if tries < configured.len() {
+            return configured[self.cursor % configured.len()];
         }
-        let learned = self.learned.iter().filter(|control| !named.contains(control));
-        let all: Vec<SocketAddr> = named.iter().chain(learned).copied().collect();
-        all[self.turn % all.len()]
+        let learned = self.learned.iter().filter(|control| !configured.contains(control));
+        let all: Vec<SocketAddr> = configured.iter().chain(learned).copied().collect();
+        all[self.cursor % all.len()]
     }
 
-    fn take_changes(&mut self) {
-        while let Ok(named) = self.changes.try_recv() {
-            self.named = named;
+    fn apply_changes(&mut self) {
+        while let Ok(configured) = self.changes.try_recv() {
+            self.configured = configured;
         }
     }
 }
