--- a/crates/broker/src/control_dial.rs
+++ b/crates/broker/src/control_dial.rs
@@ -1,4 +1,4 @@
-//! Connections to control processes: to the nearest, or else to whichever accepts.
+//! Connects to a control process: to the nearest one, or else to the first that accepts.
 
 use std::future::Future;
 use std::io;
@@ -13,20 +13,20 @@
 use quick_error::quick_error;
 use tracing::warn;
 
-/// Least pause before another control process is tried as well.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
-/// Time that a control process has to accept a connection: one that has no power says nothing.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// Minimum pause before another control process is tried in parallel.
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+/// Connect timeout; a host without power does not answer at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 quick_error! {
     /// Why there is no connection to a control process.
     #[derive(Debug)]
     enum DialError {
-        /// The peer said nothing in time.
+        /// The peer did not answer in time.
         TimedOut {
             display("no connection in time: check that the control process runs and is reachable")
         }
-        /// The peer, or the network, said no.
+        /// The peer or the network refused the connection.
         Socket(error: io::Error) {
             from()
             display("socket error ({error}): check that the control process runs and is reachable")
@@ -34,89 +34,95 @@
     }
 }
 
-/// Control processes that are asked at the same time: enough that one of them is near.
-const ASKED_AT_ONCE: usize = 5;
-/// Time for which the nearest of them is sought.
-const SEEK_LIMIT: Duration = Duration::from_millis(500);
-/// Time for which a connection to a far one is kept while a nearer one may be starting.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// Time until one that refused is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+/// Number of control processes dialled in parallel: enough that one of them is near.
+const MAX_PARALLEL_DIALS: usize = 5;
+/// Timeout of the search for the nearest control process.
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a connection to a farther control process is held while a nearer one that refused may
+/// be starting.
+const HOLD_TIME: Duration = Duration::from_millis(400);
+/// Pause before a control process that refused is dialled again.
+const REDIAL_PAUSE: Duration = Duration::from_millis(50);
 
-/// An accepted connection, and to whom.
+/// An established connection and the address of the control process.
 type Connected = (SocketAddr, TcpStream);
 
-/// What came of asking a control process, and how long its machine took.
-struct Asked {
+/// Result of dialling a control process, and how long the connect took.
+struct DialResult {
     control: SocketAddr,
     took: Duration,
     connected: Result<TcpStream, DialError>,
 }
 
-/// Connects to the nearest of these control processes that accepts; none when none does soon.
+/// Connects to the nearest of these control processes that accepts; none if none accepts in time.
 pub async fn dial_nearest(controls: &[SocketAddr]) -> Option<Connected> {
-    let mut asked = FuturesUnordered::new();
-    asked.extend(controls.iter().take(ASKED_AT_ONCE).map(|control| ask(*control, Duration::ZERO)));
-    let mut heard = NearestControl::default();
-    let mut held: Option<Connected> = None;
-    let mut until = Instant::now() + SEEK_LIMIT;
+    let mut dials = FuturesUnordered::new();
+    dials.extend(
+        controls
+            .iter()
+            .take(MAX_PARALLEL_DIALS)
+            .map(|control| dial_after(*control, Duration::ZERO)),
+    );
+    let mut nearest = NearestControl::default();
+    let mut fallback: Option<Connected> = None;
+    let mut until = Instant::now() + SEARCH_TIMEOUT;
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let Ok(Some(answer)) = timeout(left, asked.next()).await else {
-            return held;
+        let Ok(Some(answer)) = timeout(left, dials.next()).await else {
+            return fallback;
         };
         match answer.connected {
-            Ok(stream) if heard.accepted(answer.took) == Acceptance::Take => {
+            Ok(stream) if nearest.accepted(answer.took) == Acceptance::Take => {
                 return Some((answer.control, stream));
             }
-            Ok(stream) if held.is_none() => {
-                held = Some((answer.control, stream));
-                until = until.min(Instant::now() + PATIENCE);
+            Ok(stream) if fallback.is_none() => {
+                fallback = Some((answer.control, stream));
+                until = until.min(Instant::now() + HOLD_TIME);
             }
             Err(DialError::Socket(_)) => {
-                heard.refused(answer.took);
-                asked.push(ask(answer.control, ASK_AGAIN));
+                nearest.refused(answer.took);
+                dials.push(dial_after(answer.control, REDIAL_PAUSE));
             }
             Ok(_) | Err(DialError::TimedOut) => {}
         }
     }
 }
 
-/// Asks a control process for a connection after a pause.
-async fn ask(control: SocketAddr, pause: Duration) -> Asked {
+/// Dials a control process after a pause.
+async fn dial_after(control: SocketAddr, pause: Duration) -> DialResult {
     sleep(pause).await;
     let began = Instant::now();
     let (control, connected) = connect(control).await;
-    Asked { control, took: began.elapsed(), connected }
+    DialResult { control, took: began.elapsed(), connected }
 }
 
-/// Connects to the control process that accepts first. `next` names whom to try, given how many were
-/// tried before; while one says nothing the next is tried as well, a pause later: one that has no
-/// power, or is cut off, must not hold up the others.
+/// Connects to the first control process that accepts. `next` returns the address to try, given
+/// the number of earlier attempts. Each pause without a connection starts another attempt in
+/// parallel, so that a host that is down or partitioned does not block the others.
 pub async fn dial(mut next: impl FnMut(usize) -> SocketAddr, back_off: &mut BackOff) -> Connected {
     let mut attempts = FuturesUnordered::new();
     let mut tries = 0;
     loop {
         attempts.push(connect(next(tries)));
         tries += 1;
-        let pause = back_off.next_pause(&mut rand::rng()).max(LEAST_PAUSE);
-        // Ends without a connection once the pause is over.
+        let pause = back_off.next_pause(&mut rand::rng()).max(MIN_PAUSE);
+        // On a timeout the next attempt starts.
         if let Ok(connected) = timeout(pause, first_connected(&mut attempts)).await {
             return connected;
         }
     }
 }
 
-/// A connection to a control process, or why there is none.
+/// Connects within [`CONNECT_TIMEOUT`].
 async fn connect(control: SocketAddr) -> (SocketAddr, Result<TcpStream, DialError>) {
-    let connected = match timeout(CONNECT_LIMIT, TcpStream::connect_addr(control)).await {
+    let connected = match timeout(CONNECT_TIMEOUT, TcpStream::connect_addr(control)).await {
         Ok(connected) => connected.map_err(DialError::from),
         Err(_) => Err(DialError::TimedOut),
     };
     (control, connected)
 }
 
-/// The first of these attempts that succeeds; waits for ever when none does.
+/// The first of these attempts that succeeds; never completes if all fail.
 async fn first_connected<F>(attempts: &mut FuturesUnordered<F>) -> Connected
 where
     F: Future<Output = (SocketAddr, Result<TcpStream, DialError>)>,
