--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,4 +1,4 @@
-//! The broker: it admits callers' queries, scatters them to leaves, gathers and answers.
+//! The broker: admits callers' queries, scatters them to leaves and gathers the replies.
 
 mod callers;
 mod control_dial;
@@ -32,14 +32,14 @@
 use crate::latch::Latch;
 use crate::routes::{Dialect, RouteServer};
 
-/// Time that a planned stop waits for the receipt of the last charges.
-const LAST_REPORT_LIMIT: Duration = Duration::from_secs(5);
+/// How long a planned stop waits until the last charges are recorded.
+const LAST_REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Serves callers until a planned stop has finished what was in flight. The settings are read again
-/// from `source` when it changes.
+/// Serves callers until a planned stop has drained the queries in flight. The settings are reloaded
+/// from `source` when the file changes.
 ///
 /// # Errors
-/// An [`io::Error`] when an address cannot be bound or signals cannot be watched.
+/// An [`io::Error`] if an address cannot be bound or a signal handler cannot be registered.
 pub async fn run(
     settings: BrokerSettings,
     source: SettingsSource<BrokerSettings>,
@@ -49,7 +49,7 @@
     let metrics_listener = settings.metrics.map(listen).transpose()?;
     let (engine, messages) = local_sync::mpsc::unbounded::channel();
     let stop = Latch::new();
-    spawn_stop_watch(stop.clone(), engine.clone())?;
+    spawn_signal_watch(stop.clone(), engine.clone())?;
     let address = listener.local_addr()?;
     match &metrics_listener {
         Some(metrics) => {
@@ -87,17 +87,17 @@
     Ok(())
 }
 
-/// Has the last charges recorded before the process ends, within [`LAST_REPORT_LIMIT`].
+/// Waits until the last charges are recorded, at most [`LAST_REPORT_TIMEOUT`].
 async fn report_last(totals: ChargeTotals, feed: &Tx<LastReport>) {
     let (recorded, receipt) = oneshot::channel();
     // The feed lives as long as the process.
     let _ = feed.send(LastReport { totals, recorded });
-    if timeout(LAST_REPORT_LIMIT, receipt).await.is_err() {
+    if timeout(LAST_REPORT_TIMEOUT, receipt).await.is_err() {
         warn!(event = "charges_not_recorded", remedy = "check that a quorum of control is up");
     }
 }
 
-fn spawn_stop_watch(stop: Latch, engine: Tx<EngineMessage>) -> io::Result<()> {
+fn spawn_signal_watch(stop: Latch, engine: Tx<EngineMessage>) -> io::Result<()> {
     let requested = signals::stop_requested()?;
     monoio::spawn(async move {
         requested.await;
