--- a/crates/broker/src/main.rs
+++ b/crates/broker/src/main.rs
@@ -1,4 +1,4 @@
-//! `gingerkeel-broker`: the broker.
+//! The `gingerkeel-broker` program: parses flags, loads the settings and runs the broker.
 
 use std::path::PathBuf;
 use std::process::exit;
