--- a/crates/broker/src/leaves/mod.rs
+++ b/crates/broker/src/leaves/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to leaves and the HTTP exchange on them.
+//! Connection pools of leaves and the HTTP exchange with leaves.
 
 mod connection;
 mod pool;
