--- a/crates/broker/src/leaves/pool.rs
+++ b/crates/broker/src/leaves/pool.rs
@@ -1,4 +1,4 @@
-//! The connections of this broker to one leaf.
+//! Connection pool of one leaf.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
 use super::wire::WireRequest;
 use crate::engine::EngineMessage;
 
-/// What a leaf is asked to do.
+/// Work for a leaf.
 #[derive(Debug)]
 pub enum LeafWork {
     /// Run a request.
     Send(WireRequest),
-    /// Cancel one.
+    /// Cancel a request.
     Cancel(LeafRequestId),
     /// Ask the leaf whether it is leaving.
     Probe,
 }
 
-/// A connection and the request whose reply it is owed.
+/// A connection and the request in flight on it.
 struct PooledConnection {
     commands: Tx<ConnectionCommand>,
-    carries: Option<LeafRequestId>,
+    in_flight: Option<LeafRequestId>,
 }
 
-/// The connections of this broker to one leaf; at most `limit` of them are open.
+/// Connections of this broker to one leaf, at most `limit` of them.
 pub struct LeafPool {
     leaf: LeafId,
     address: SocketAddr,
@@ -45,7 +45,7 @@
 }
 
 impl LeafPool {
-    /// A pool without connections; they open on demand.
+    /// Creates an empty pool; connections open on demand.
     pub fn new(
         leaf: LeafId,
         address: SocketAddr,
@@ -67,23 +67,23 @@
         }
     }
 
-    /// Carries out work on an idle connection, a new one, or the next that becomes idle.
+    /// Runs work on an idle connection, on a new one, or on the next that becomes idle.
     pub fn submit(&mut self, work: LeafWork, next_connection: &mut u64) {
         match work {
             LeafWork::Send(request) => {
                 self.waiting.push_back(ConnectionCommand::Send(request));
             }
-            LeafWork::Cancel(request) if self.withdraw(request) => {}
+            LeafWork::Cancel(request) if self.remove_waiting(request) => {}
             LeafWork::Cancel(request) if self.abandon(request) => {
                 self.waiting.push_front(ConnectionCommand::Cancel(request));
             }
-            // The reply is on its way to the engine already.
+            // The engine is already receiving the reply.
             LeafWork::Cancel(_) => {}
-            // Replies to what the busy connections carry will have the mark.
+            // The replies to the requests in flight carry the draining header, too.
             LeafWork::Probe if self.is_busy() => {}
             LeafWork::Probe => self.waiting.push_back(ConnectionCommand::Probe),
         }
-        self.assign(next_connection);
+        self.dispatch_waiting(next_connection);
     }
 
     /// Whether a probe would have to wait for a connection.
@@ -91,38 +91,38 @@
         self.idle.is_empty() && self.connections.len() >= self.limit
     }
 
-    /// Address of the leaf.
+    /// Address that the pool connects to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the number of connections; surplus ones close once they are idle.
+    /// Sets the connection limit; surplus connections close once they are idle.
     pub fn set_limit(&mut self, limit: usize) {
         self.limit = limit;
     }
 
-    /// A connection can take the next command.
+    /// Handles a connection that can take the next command.
     pub fn connection_idle(&mut self, connection: ConnectionId, next_connection: &mut u64) {
         if self.connections.len() > self.limit {
             self.connections.remove(&connection);
             return;
         }
         if let Some(pooled) = self.connections.get_mut(&connection) {
-            pooled.carries = None;
+            pooled.in_flight = None;
             self.idle.push(connection);
         }
-        self.assign(next_connection);
+        self.dispatch_waiting(next_connection);
     }
 
-    /// A connection is gone.
+    /// Handles a connection that has closed.
     pub fn connection_closed(&mut self, connection: ConnectionId, next_connection: &mut u64) {
         self.connections.remove(&connection);
         self.idle.retain(|candidate| *candidate != connection);
-        self.assign(next_connection);
+        self.dispatch_waiting(next_connection);
     }
 
-    /// Takes back a request that no connection has yet; it was not run.
-    fn withdraw(&mut self, request: LeafRequestId) -> bool {
+    /// Removes a request that still waits for a connection and completes it as not run.
+    fn remove_waiting(&mut self, request: LeafRequestId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|command| {
             !matches!(command, ConnectionCommand::Send(waiting) if waiting.request == request)
@@ -138,15 +138,14 @@
         true
     }
 
-    /// Tells the connection that carries a request that its reply is not wanted any more; false
-    /// when no connection carries it.
+    /// Tells the connection on which a request is in flight to abandon it; false if there is none.
     fn abandon(&mut self, request: LeafRequestId) -> bool {
-        let carrier = self.connections.values().find(|pooled| pooled.carries == Some(request));
-        carrier
+        let pooled = self.connections.values().find(|pooled| pooled.in_flight == Some(request));
+        pooled
             .is_some_and(|pooled| pooled.commands.send(ConnectionCommand::Abandon(request)).is_ok())
     }
 
-    fn assign(&mut self, next_connection: &mut u64) {
+    fn dispatch_waiting(&mut self, next_connection: &mut u64) {
         while let Some(command) = self.waiting.pop_front() {
             let Some(connection) = self.idle.pop() else {
                 if self.connections.len() >= self.limit {
@@ -160,8 +159,8 @@
                 self.waiting.push_front(command);
                 continue;
             };
-            pooled.carries = carried_request(&command);
-            // A connection that closed just now fails what it is given as not sent.
+            pooled.in_flight = request_of(&command);
+            // A connection that has just closed fails the command as not sent.
             let _ = pooled.commands.send(command);
         }
     }
@@ -170,10 +169,10 @@
         let connection = ConnectionId(*next_connection);
         *next_connection += 1;
         let (sender, commands) = unbounded::channel();
-        let carries = carried_request(&command);
-        // The receiver is held below.
+        let in_flight = request_of(&command);
+        // The receiver is still held, so that this cannot fail.
         let _ = sender.send(command);
-        self.connections.insert(connection, PooledConnection { commands: sender, carries });
+        self.connections.insert(connection, PooledConnection { commands: sender, in_flight });
         let task = ConnectionTask {
             leaf: self.leaf,
             connection,
@@ -186,7 +185,7 @@
     }
 }
 
-fn carried_request(command: &ConnectionCommand) -> Option<LeafRequestId> {
+fn request_of(command: &ConnectionCommand) -> Option<LeafRequestId> {
     match command {
         ConnectionCommand::Send(wire_request) => Some(wire_request.request),
         ConnectionCommand::Cancel(_) | ConnectionCommand::Abandon(_) | ConnectionCommand::Probe => {
