--- a/crates/broker/src/leaves/wire.rs
+++ b/crates/broker/src/leaves/wire.rs
@@ -1,4 +1,4 @@
-//! How requests to leaves and their replies look in HTTP.
+//! Encodes requests to leaves as HTTP and parses their replies.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,22 +10,22 @@
 use gingerkeel_transport::{HttpRequest, HttpResponse};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode, Uri};
 
-/// Identifier of a leaf request; the reply repeats it.
+/// Identifier of a leaf request; echoed in the reply.
 pub const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
-/// Index version that is read; the reply repeats it.
+/// Index version to read; echoed in the reply.
 const INDEX_VERSION_HEADER: HeaderName = HeaderName::from_static("x-index-version");
-/// Partition epoch that names the shard; the reply repeats it.
+/// Partition epoch of the shard number; echoed in the reply.
 const PARTITION_EPOCH_HEADER: HeaderName = HeaderName::from_static("x-partition-epoch");
 /// Milliseconds until the caller's deadline.
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Priority of the class, 0 first.
+/// Priority of the class; 0 is the highest.
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("x-priority");
-/// On a reply: why the leaf did not run the request.
+/// Reply header: why the leaf did not run the request.
 const NOT_RUN_HEADER: HeaderName = HeaderName::from_static("x-not-run");
-/// On a reply: `1` when the leaf is leaving, `0` when it is not.
+/// Reply header: `1` if the leaf is draining, `0` if not.
 const DRAINING_HEADER: HeaderName = HeaderName::from_static("x-draining");
 
-/// What all leaf requests of one query have in common.
+/// Data that all leaf requests of a query share.
 #[derive(Debug, Clone)]
 pub struct RequestContext {
     /// Body of the caller's query.
@@ -37,18 +37,18 @@
 /// A request to a leaf.
 #[derive(Debug, Clone)]
 pub struct WireRequest {
-    /// Its identifier within this broker run.
+    /// Identifier within this broker run.
     pub request: LeafRequestId,
-    /// The snapshot it reads.
+    /// Snapshot to read.
     pub snapshot: Snapshot,
     /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// What it shares with the other requests of its query.
+    /// Data shared with the other requests of the query.
     pub context: Rc<RequestContext>,
 }
 
 impl WireRequest {
-    /// The request in HTTP; `run` makes its identifier unique over all broker runs.
+    /// Encodes the request; `run` makes its identifier unique over all broker runs.
     pub fn to_http(&self, run: &str) -> HttpRequest {
         let mut request = HttpRequest::new(self.context.body.clone());
         *request.method_mut() = Method::POST;
@@ -64,7 +64,7 @@
     }
 }
 
-/// The request that cancels another one at the same leaf.
+/// Encodes the cancellation of a request that the same leaf has received.
 pub fn cancellation(run: &str, request: LeafRequestId) -> HttpRequest {
     let mut cancellation = HttpRequest::new(Bytes::new());
     *cancellation.method_mut() = Method::DELETE;
@@ -73,7 +73,7 @@
     cancellation
 }
 
-/// The request for nothing but the leaf's mark, which every reply of a leaf carries.
+/// Encodes a probe. It reads the draining header, which every reply of a leaf has.
 pub fn probe() -> HttpRequest {
     let mut probe = HttpRequest::new(Bytes::new());
     *probe.method_mut() = Method::GET;
@@ -90,7 +90,7 @@
     HeaderValue::try_from(format!("{run}-{request}")).expect("identifiers are valid in a header")
 }
 
-/// Reads a leaf's reply; one of another request or of the wrong shape counts as broken.
+/// Parses a leaf's reply; a reply to another request or a malformed one counts as broken.
 pub fn read_reply(run: &str, request: LeafRequestId, response: HttpResponse) -> LeafCompletion {
     if response.headers().get(REQUEST_ID_HEADER) != Some(&request_id(run, request)) {
         return LeafCompletion::Failed(LeafFailure::Broken);
@@ -114,7 +114,7 @@
     LeafCompletion::Replied(LeafReply::Result { snapshot, body })
 }
 
-/// Whether the reply says that the leaf is leaving.
+/// Whether the leaf is draining; none if the header is missing or invalid.
 pub fn read_draining(response: &HttpResponse) -> Option<bool> {
     match response.headers().get(DRAINING_HEADER)?.as_bytes() {
         b"1" => Some(true),
