--- a/crates/broker/src/leaves/connection.rs
+++ b/crates/broker/src/leaves/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to one leaf, owned by a task.
+//! A connection to a leaf; one task owns it.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,52 +19,52 @@
 use super::wire::{WireRequest, cancellation, probe, read_draining, read_reply};
 use crate::engine::EngineMessage;
 
-/// Time within which a connection to a leaf has to open.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// Time after the caller's deadline for which a reply is awaited before the connection is closed.
+/// Connect timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long after the caller's deadline a reply is awaited before the connection is closed.
 const REPLY_GRACE: Duration = Duration::from_millis(500);
-/// Time after a cancellation for which the reply owed is awaited before the connection is closed.
+/// How long after a cancellation the pending reply is awaited before the connection is closed.
 const CANCEL_GRACE: Duration = Duration::from_millis(200);
 
-/// Time within which a probe has to be answered before the connection is closed.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Timeout of a probe; the connection is closed afterwards.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Number of a connection within one broker run.
+/// Number of a connection, unique within the broker run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What a connection is told to do.
+/// A command to a connection.
 #[derive(Debug)]
 pub enum ConnectionCommand {
     /// Send a request and read its reply.
     Send(WireRequest),
-    /// Cancel a request that another connection carries.
+    /// Cancel a request in flight on another connection.
     Cancel(LeafRequestId),
-    /// Ask the leaf whether it is leaving.
+    /// Ask the leaf whether it is draining.
     Probe,
-    /// The reply to this connection's own request is not wanted any more.
+    /// Stop waiting for the reply to the request in flight on this connection.
     Abandon(LeafRequestId),
 }
 
-/// What a connection tells the engine.
+/// An event of a connection, for the engine.
 #[derive(Debug)]
 pub enum LeafMessage {
-    /// A request ended.
+    /// A request has completed.
     Completed {
         /// The leaf.
         leaf: LeafId,
         /// The request.
         request: LeafRequestId,
-        /// How it ended.
+        /// The reply, or why there is none.
         completion: LeafCompletion,
-        /// Whether the leaf said that it is leaving.
+        /// Whether the leaf is draining, if its reply says so.
         draining: Option<bool>,
     },
     /// The leaf answered a probe.
     ProbeAnswered {
         /// The leaf.
         leaf: LeafId,
-        /// Whether it is leaving.
+        /// Whether the leaf is draining.
         draining: bool,
     },
     /// The connection can take the next command.
@@ -74,7 +74,7 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// The connection is gone.
+    /// The connection has closed.
     Closed {
         /// The leaf.
         leaf: LeafId,
@@ -83,7 +83,7 @@
     },
 }
 
-/// What a connection task is started with.
+/// Parameters of a connection task.
 pub struct ConnectionTask {
     /// The leaf.
     pub leaf: LeafId,
@@ -91,37 +91,37 @@
     pub connection: ConnectionId,
     /// Address of the leaf.
     pub address: SocketAddr,
-    /// Name of this broker run, part of request identifiers.
+    /// Name of this broker run, a prefix of request identifiers.
     pub run: Rc<str>,
-    /// Bounds on replies.
+    /// Limits of replies.
     pub limits: Limits,
-    /// Where outcomes go.
+    /// Receives the events.
     pub engine: Tx<EngineMessage>,
 }
 
 impl ConnectionTask {
-    /// Connects, then carries out commands until the connection fails.
+    /// Connects, then executes commands until the connection fails.
     pub async fn run(self, mut commands: Rx<ConnectionCommand>) {
         let connecting = ClientConnection::connect(self.address, self.limits);
-        if let Ok(Ok(connection)) = timeout(CONNECT_TIME, connecting).await {
+        if let Ok(Ok(connection)) = timeout(CONNECT_TIMEOUT, connecting).await {
             let (mut writer, mut reader) = connection.into_split();
-            while self.serve_one(&mut writer, &mut reader, &mut commands).await.is_some() {
+            while self.execute_next(&mut writer, &mut reader, &mut commands).await.is_some() {
                 let idle = LeafMessage::Idle { leaf: self.leaf, connection: self.connection };
-                self.tell(idle);
+                self.notify_engine(idle);
             }
         }
         self.close(commands);
     }
 
-    /// Carries out one command; none when the connection is of no further use.
-    async fn serve_one(
+    /// Executes one command; none if the connection can no longer be used.
+    async fn execute_next(
         &self,
         writer: &mut RequestWriter,
         reader: &mut ResponseReader,
         commands: &mut Rx<ConnectionCommand>,
     ) -> Option<()> {
-        // The read waits already while the connection is idle, so that a close by the leaf is
-        // seen before a request is written.
+        // Reading starts while the connection is idle, so that a close by the leaf is noticed
+        // before a request is written.
         let mut receiving = pin!(reader.receive());
         let command = monoio::select! {
             _ = &mut receiving => None,
@@ -133,7 +133,7 @@
                 if is_abandoned(commands, request) {
                     let reply = LeafReply::NotRun(NotRunReason::Cancelled);
                     self.complete(request, LeafCompletion::Replied(reply), None);
-                    // The read that waits is dropped without having taken a byte.
+                    // The pending read is dropped before it has consumed a byte.
                     return Some(());
                 }
                 let wait = wire_request.time_left + REPLY_GRACE;
@@ -156,13 +156,13 @@
                     writer.send(probe()).await?;
                     receiving.await
                 };
-                let response = timeout(PROBE_TIME, exchange).await.ok()?.ok()?;
+                let response = timeout(PROBE_TIMEOUT, exchange).await.ok()?.ok()?;
                 if let Some(draining) = read_draining(&response) {
-                    self.tell(LeafMessage::ProbeAnswered { leaf: self.leaf, draining });
+                    self.notify_engine(LeafMessage::ProbeAnswered { leaf: self.leaf, draining });
                 }
                 Some(())
             }
-            // The reply came before the word that it is not wanted.
+            // The reply arrived before the command to abandon it.
             ConnectionCommand::Abandon(_) => Some(()),
         }
     }
@@ -183,7 +183,7 @@
         (!broken).then_some(())
     }
 
-    /// Fails the commands that were never written.
+    /// Fails the requests that were never written.
     fn close(&self, mut commands: Rx<ConnectionCommand>) {
         commands.close();
         while let Ok(command) = commands.try_recv() {
@@ -192,27 +192,27 @@
                 self.complete(wire_request.request, completion, None);
             }
         }
-        self.tell(LeafMessage::Closed { leaf: self.leaf, connection: self.connection });
+        self.notify_engine(LeafMessage::Closed { leaf: self.leaf, connection: self.connection });
     }
 
     fn complete(&self, request: LeafRequestId, completion: LeafCompletion, draining: Option<bool>) {
         let leaf = self.leaf;
-        self.tell(LeafMessage::Completed { leaf, request, completion, draining });
+        self.notify_engine(LeafMessage::Completed { leaf, request, completion, draining });
     }
 
-    fn tell(&self, message: LeafMessage) {
+    fn notify_engine(&self, message: LeafMessage) {
         // The engine lives as long as the process.
         let _ = self.engine.send(EngineMessage::Leaf(message));
     }
 }
 
-/// Whether the word that the request is not wanted any more came before it was written.
+/// Whether the request was abandoned before it was written.
 fn is_abandoned(commands: &mut Rx<ConnectionCommand>, request: LeafRequestId) -> bool {
     matches!(commands.try_recv(), Ok(ConnectionCommand::Abandon(abandoned)) if abandoned == request)
 }
 
-/// Awaits the reply; once it is not wanted any more only for [`CANCEL_GRACE`], so that a leaf
-/// which does not answer holds no connection for long. None when no reply came in time.
+/// Awaits the reply; after an abandon command only for [`CANCEL_GRACE`], so that an unresponsive
+/// leaf does not occupy the connection. None if no reply arrived in time.
 async fn await_reply(
     exchange: impl Future<Output = Result<Result<HttpResponse, TransportError>, Elapsed>>,
     commands: &mut Rx<ConnectionCommand>,
@@ -228,9 +228,9 @@
             Some(ConnectionCommand::Abandon(abandoned)) if abandoned == request => {
                 return timeout(CANCEL_GRACE, exchange).await.ok()?.ok();
             }
-            // The pool gives a busy connection nothing else.
+            // The pool sends no other command to a busy connection.
             Some(_) => {}
-            // The pool is gone: the leaf left the catalog. What is owed is still awaited.
+            // The pool was dropped: the leaf left the catalog. The pending reply is still awaited.
             None => return exchange.await.ok(),
         }
     }
