--- a/crates/broker/src/reload.rs
+++ b/crates/broker/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes over settings that change while the broker runs: the addresses of control processes.
+//! Reloads settings that may change at run time: the addresses of control processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,11 +8,11 @@
 use local_sync::mpsc::unbounded::{self, Rx};
 use tracing::info;
 
-/// Watches the settings file for ever; gives the channel over which the addresses of control
-/// processes come when they have changed.
+/// Starts watching the settings file; returns the channel that receives the addresses of control
+/// processes when they have changed.
 ///
 /// # Errors
-/// An [`io::Error`] when the signal of changed settings cannot be watched.
+/// An [`io::Error`] if the handler of SIGHUP cannot be registered.
 pub fn start(
     source: SettingsSource<BrokerSettings>,
     in_force: &BrokerSettings,
@@ -25,7 +25,7 @@
         let take = |settings: BrokerSettings| {
             let control_changed = settings.control != in_force.control;
             in_force.control = settings.control.clone();
-            // All else stands as it was read at the start.
+            // All other settings keep their values from the start.
             let restart_needed = settings != in_force;
             info!(event = "settings_read", file, control_changed, restart_needed);
             if control_changed {
