--- a/crates/transport/src/responses.rs
+++ b/crates/transport/src/responses.rs
@@ -1,4 +1,4 @@
-//! Whole answers of the product's own interfaces.
+//! Complete responses of the administrative HTTP interfaces.
 
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
@@ -6,14 +6,14 @@
 
 use crate::message::HttpResponse;
 
-/// An answer in words.
+/// A response with a plain-text body, without a content type.
 pub fn text_response(status: StatusCode, text: &str) -> HttpResponse {
     let mut response = HttpResponse::new(Bytes::copy_from_slice(text.as_bytes()));
     *response.status_mut() = status;
     response
 }
 
-/// An answer in JSON.
+/// A response with a JSON body and its content type.
 pub fn json_response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
     let mut response = HttpResponse::new(body.into());
     *response.status_mut() = status;
