--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -1,4 +1,4 @@
-//! Whole messages and the decoders that bound them.
+//! Complete messages, and decoders that enforce limits on them.
 
 use bytes::{Bytes, BytesMut};
 use http::HeaderMap;
@@ -15,16 +15,16 @@
 
 use crate::{Limits, TransportError};
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub type HttpRequest = http::Request<Bytes>;
-/// A response with its whole body.
+/// A response with its complete body.
 pub type HttpResponse = http::Response<Bytes>;
 
 pub(crate) type RequestDecoder = GenericHeadDecoder<Request, RequestHeadDecoder, DirectWrapper>;
 pub(crate) type ResponseDecoder = GenericHeadDecoder<Response, ResponseHeadDecoder, DirectWrapper>;
 type BodyDecoder = PayloadDecoder<FixedBodyDecoder, ChunkedBodyDecoder>;
 
-/// A message head that has headers.
+/// Access to the headers of a request or response head.
 pub(crate) trait Head {
     fn headers(&self) -> &HeaderMap;
 }
@@ -41,7 +41,8 @@
     }
 }
 
-/// Stops a head decoder once more than `limit` bytes are buffered without a whole head.
+/// Wraps a head decoder; fails if the head, or what is buffered of an incomplete one, exceeds
+/// `limit` bytes.
 pub(crate) struct BoundedHead<D> {
     pub(crate) inner: D,
     pub(crate) limit: usize,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Reads one message; none when the peer closed the connection between messages.
+/// Reads one message; none if the peer closed the connection between messages.
 pub(crate) async fn read_message<IO, D, H>(
     framed: &mut FramedRead<IO, ()>,
     limits: &Limits,
@@ -89,8 +90,8 @@
     Ok(Some((head, body)))
 }
 
-/// Refuses a message whose length is declared more than once: peers that take different
-/// declarations for the true one disagree on where the next message begins.
+/// Rejects a message whose length is declared more than once. Otherwise peers that honour
+/// different declarations would disagree on where the next message begins (request smuggling).
 fn check_framing(headers: &HeaderMap) -> Result<(), TransportError> {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let declarations = lengths + usize::from(headers.contains_key(TRANSFER_ENCODING));
@@ -144,7 +145,7 @@
     }
 }
 
-/// A body as the encoder takes it.
+/// Converts a body for the encoder.
 pub(crate) fn payload(body: Bytes) -> Payload {
     if body.is_empty() { Payload::None } else { Payload::Fixed(FixedPayload::new(body)) }
 }
