--- a/crates/transport/src/listener.rs
+++ b/crates/transport/src/listener.rs
@@ -5,13 +5,13 @@
 
 use monoio::net::{ListenerOpts, TcpListener};
 
-/// Listens on an address that no other process listens on.
+/// Listens on an address exclusively.
 ///
-/// By default the runtime lets several processes share an address; each of them would then get
-/// some of the connections that are meant for one.
+/// By default the runtime sets `SO_REUSEPORT`; a second process on the same address would then
+/// receive some of the connections.
 ///
 /// # Errors
-/// An [`io::Error`] when the address is taken or is not of this machine.
+/// An [`io::Error`] if the address is in use or does not belong to this machine.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind_with_config(address, &ListenerOpts::new().reuse_port(false))
 }
