--- a/crates/transport/src/http1/mod.rs
+++ b/crates/transport/src/http1/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 connections that forward: heads by `httparse`, framing and bodies piece by piece.
+//! HTTP/1.1 for forwarding: heads are parsed by `httparse`, bodies are streamed.
 //!
-//! `monoio-http` collects a body with a length before it hands it on, and takes a response with
-//! neither a length nor chunks for one without a body. Forwarding needs both otherwise; the
-//! choice is weighed in `docs/design/forwarding.md`.
+//! `monoio-http` is not used here: it buffers a body that has a length, and treats a response with
+//! neither a length nor chunks as one without a body, where a proxy has to stream the body and read
+//! until the connection closes. The trade-off is discussed in `docs/design/forwarding.md`.
 
 mod body;
 mod framing;
