--- a/crates/transport/src/http1/body.rs
+++ b/crates/transport/src/http1/body.rs
@@ -1,14 +1,14 @@
-//! Bodies, piece by piece.
+//! Streaming decoder of message bodies.
 
 use bytes::{Bytes, BytesMut};
 
 use super::framing::BodyFraming;
 use super::head::HeadError;
 
-/// Longest line that gives the size of a chunk, or of a trailer.
+/// Maximum length of a chunk-size line or a trailer field, in bytes.
 const LINE_LIMIT: usize = 4 * 1024;
 
-/// Takes the pieces of one body off a buffer.
+/// Decodes one body from a buffer, piece by piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BodyDecoder {
     state: State,
@@ -26,7 +26,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder of a body framed in this way.
+    /// Creates a decoder of a body with this framing.
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::None => State::Done,
@@ -37,20 +37,20 @@
         Self { state }
     }
 
-    /// Whether the whole body was taken.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether the body ends with the connection.
+    /// Whether the close of the connection ends the body.
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// The next piece; none when more bytes are needed, or the body is done.
+    /// The next piece; none if more bytes are needed or the body is complete.
     ///
     /// # Errors
-    /// A [`HeadError`] when the chunks are malformed.
+    /// A [`HeadError`] if the chunked encoding is malformed.
     pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadError> {
         loop {
             match self.state {
@@ -110,6 +110,7 @@
     Some((buffer.split_to(count as usize).freeze(), count))
 }
 
+/// Splits off a line without its CRLF; none if the buffer holds no complete line.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         if buffer.len() > LINE_LIMIT {
