--- a/crates/transport/src/http1/reader.rs
+++ b/crates/transport/src/http1/reader.rs
@@ -1,4 +1,4 @@
-//! The reading half of a connection, with what has arrived and was not taken.
+//! Buffered reader over the read half of a connection.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,15 +11,15 @@
 use super::body::BodyDecoder;
 use super::head::{HeadError, RequestHead, ResponseHead, parse_request, parse_response};
 
-/// Bytes that are read at once.
+/// Size of a read buffer, in bytes.
 const READ_BYTES: usize = 4 * 1024;
-/// Buffers for reading that a thread keeps: as many as a scatter to tens of leaves uses at once, and few
-/// enough that they do not show in the memory of a process (128 KiB).
-const KEPT_BUFFERS: usize = 32;
+/// Maximum number of idle read buffers per thread: as many as a scatter to tens of leaves uses at a
+/// time, at a negligible memory cost (128 KiB).
+const MAX_IDLE_BUFFERS: usize = 32;
 
 thread_local! {
-    /// Buffers for reading that are not in use. A read of a few hundred bytes would else spend more
-    /// time on the allocation of its buffer than on the socket.
+    /// Pool of idle read buffers. Without the pool, a read of a few hundred bytes spends more time on
+    /// allocating its buffer than on the socket.
     static BUFFERS: RefCell<Vec<Vec<u8>>> = const { RefCell::new(Vec::new()) };
 }
 
@@ -28,9 +28,9 @@
     kept.unwrap_or_else(|| Vec::with_capacity(READ_BYTES))
 }
 
-fn keep_buffer(mut buffer: Vec<u8>) {
+fn recycle_buffer(mut buffer: Vec<u8>) {
     BUFFERS.with_borrow_mut(|buffers| {
-        if buffers.len() < KEPT_BUFFERS {
+        if buffers.len() < MAX_IDLE_BUFFERS {
             buffer.clear();
             buffers.push(buffer);
         }
@@ -38,7 +38,7 @@
 }
 
 quick_error! {
-    /// Why a message was not read; the connection is of no further use.
+    /// An error while reading a message; the connection must not be used any more.
     #[derive(Debug)]
     pub enum ReadError {
         /// The socket failed.
@@ -51,7 +51,7 @@
         ConnectionClosed {
             display("the connection closed within a message: send the request again if it may be repeated")
         }
-        /// The message is not valid.
+        /// The head or the framing is invalid.
         Head(error: HeadError) {
             from()
             display("{error}")
@@ -59,46 +59,47 @@
     }
 }
 
-/// The reading half of a connection.
+/// The read half of a connection, with the bytes that are received but not yet consumed.
 pub struct HttpReader {
     half: OwnedReadHalf<TcpStream>,
     buffer: BytesMut,
 }
 
 impl HttpReader {
-    /// Reads from `half`.
+    /// Creates a reader with an empty buffer.
     pub fn new(half: OwnedReadHalf<TcpStream>) -> Self {
         Self { half, buffer: BytesMut::new() }
     }
 
-    /// Whether nothing has arrived that was not taken.
+    /// Whether the buffer holds no unconsumed bytes.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Bytes that have arrived and were not taken.
+    /// Number of unconsumed bytes in the buffer.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Waits for more bytes; 0 when the peer has closed its side. Nothing is lost when the wait
-    /// is given up.
+    /// Reads more bytes into the buffer; 0 if the peer has closed its side. Cancel-safe: a dropped
+    /// wait loses no bytes.
     ///
     /// # Errors
-    /// An [`io::Error`] of the socket.
+    /// An [`io::Error`] if the socket fails.
     pub async fn fill(&mut self) -> io::Result<usize> {
         let (result, read) = self.half.read(take_buffer()).await;
         if let Ok(count) = result {
             self.buffer.extend_from_slice(&read[..count]);
         }
-        keep_buffer(read);
+        recycle_buffer(read);
         result
     }
 
-    /// Reads the head of a request; none when the peer closed the connection before it.
+    /// Reads the head of a request of at most `limit` bytes; none if the peer closed the connection
+    /// before the first byte.
     ///
     /// # Errors
-    /// A [`ReadError`].
+    /// A [`ReadError`] if the head is invalid, too large or incomplete, or the socket fails.
     pub async fn request_head(&mut self, limit: usize) -> Result<Option<RequestHead>, ReadError> {
         loop {
             if let Some(head) = parse_request(&mut self.buffer, limit)? {
@@ -110,10 +111,10 @@
         }
     }
 
-    /// Reads the head of a response.
+    /// Reads the head of a response of at most `limit` bytes.
     ///
     /// # Errors
-    /// A [`ReadError`].
+    /// A [`ReadError`] if the head is invalid, too large or incomplete, or the socket fails.
     pub async fn response_head(&mut self, limit: usize) -> Result<ResponseHead, ReadError> {
         loop {
             if let Some(head) = parse_response(&mut self.buffer, limit)? {
@@ -125,10 +126,11 @@
         }
     }
 
-    /// The next piece of a body; none once it is whole.
+    /// The next piece of a body; none once the body is complete.
     ///
     /// # Errors
-    /// A [`ReadError`]; [`ReadError::ConnectionClosed`] when the connection closed before the end.
+    /// A [`ReadError`]; [`ReadError::ConnectionClosed`] if the connection closed before the end of the
+    /// body.
     pub async fn body_piece(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -147,14 +149,14 @@
         }
     }
 
-    /// Reads and drops up to `limit` bytes until the peer closes its side, so that closing the
-    /// connection does not reset it before the peer has read its response.
+    /// Reads and discards up to `limit` bytes until the peer closes its side. Closing a connection
+    /// with unread bytes resets it, and the peer could lose its response.
     pub async fn discard(&mut self, limit: usize) {
-        let mut dropped = self.buffer.len();
+        let mut discarded = self.buffer.len();
         self.buffer.clear();
-        while dropped <= limit {
+        while discarded <= limit {
             match self.fill().await {
-                Ok(count) if count > 0 => dropped += count,
+                Ok(count) if count > 0 => discarded += count,
                 _ => return,
             }
             self.buffer.clear();
