--- a/crates/transport/src/http1/framing.rs
+++ b/crates/transport/src/http1/framing.rs
@@ -1,24 +1,24 @@
-//! How the end of a body is known.
+//! Message framing: how the end of a body is determined.
 
 use super::head::{HeadError, Headers, ResponseHead};
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
     /// There is no body.
     None,
-    /// By its length in bytes.
+    /// The body has this length in bytes.
     Length(u64),
-    /// By its last chunk.
+    /// The body ends with its last chunk.
     Chunked,
-    /// By the end of the connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// How the body of a request ends.
+/// Framing of a request's body.
 ///
 /// # Errors
-/// [`HeadError::Framing`] when two parties could disagree on it.
+/// [`HeadError::Framing`] if the headers are ambiguous, so that two peers could disagree on it.
 pub fn request_framing(headers: &Headers) -> Result<BodyFraming, HeadError> {
     match (is_chunked(headers)?, declared_length(headers)?) {
         (true, Some(_)) => Err(HeadError::Framing),
@@ -28,10 +28,10 @@
     }
 }
 
-/// How the body of a response to a request of `method` ends.
+/// Framing of the body of a response to a request of `method`.
 ///
 /// # Errors
-/// [`HeadError::Framing`] when two parties could disagree on it.
+/// [`HeadError::Framing`] if the headers are ambiguous, so that two peers could disagree on it.
 pub fn response_framing(method: &str, head: &ResponseHead) -> Result<BodyFraming, HeadError> {
     let bodiless = matches!(head.status, 100..=199 | 204 | 304) || method == "HEAD";
     if bodiless {
