--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that sends requests.
+//! Client side of an HTTP connection.
 
 use std::net::SocketAddr;
 
@@ -12,18 +12,18 @@
 use crate::message::{HttpRequest, HttpResponse, ResponseDecoder, payload, read_message};
 use crate::{Limits, TransportError};
 
-/// A connection on which this process sends requests, one at a time.
+/// A client connection; requests are sent one at a time.
 pub struct ClientConnection {
     writer: RequestWriter,
     reader: ResponseReader,
 }
 
-/// The half of a client connection that writes requests.
+/// The write half of a client connection.
 pub struct RequestWriter {
     encoder: GenericEncoder<OwnedWriteHalf<TcpStream>>,
 }
 
-/// The half of a client connection that reads responses.
+/// The read half of a client connection.
 pub struct ResponseReader {
     framed: FramedRead<OwnedReadHalf<TcpStream>, ()>,
     limits: Limits,
@@ -33,10 +33,10 @@
     /// Connects to `address`.
     ///
     /// # Errors
-    /// [`TransportError::Socket`] when the peer cannot be reached.
+    /// [`TransportError::Socket`] if the peer cannot be reached.
     pub async fn connect(address: SocketAddr, limits: Limits) -> Result<Self, TransportError> {
         let stream = TcpStream::connect_addr(address).await?;
-        // Latency is measured in milliseconds here; a socket without the option still works.
+        // Nagle's algorithm would add milliseconds of latency; a socket without the option works.
         let _ = stream.set_nodelay(true);
         let (read_half, write_half) = stream.into_split();
         Ok(Self {
@@ -48,23 +48,23 @@
     /// Sends a request and reads its response.
     ///
     /// # Errors
-    /// A [`TransportError`] as of [`RequestWriter::send`] and [`ResponseReader::receive`].
+    /// The errors of [`RequestWriter::send`] and [`ResponseReader::receive`].
     pub async fn exchange(&mut self, request: HttpRequest) -> Result<HttpResponse, TransportError> {
         self.writer.send(request).await?;
         self.reader.receive().await
     }
 
-    /// Splits the connection, so that a read can wait while nothing is asked.
+    /// Splits the connection, so that a read can be pending while no request is in flight.
     pub fn into_split(self) -> (RequestWriter, ResponseReader) {
         (self.writer, self.reader)
     }
 }
 
 impl RequestWriter {
-    /// Writes a request whole.
+    /// Writes and flushes a request.
     ///
     /// # Errors
-    /// A [`TransportError`] when the socket fails; a part of the request may have left.
+    /// A [`TransportError`] if the socket fails; part of the request may have been sent.
     pub async fn send(&mut self, request: HttpRequest) -> Result<(), TransportError> {
         let (head, body) = request.into_parts();
         let request = http::Request::from_parts(head, payload(body));
@@ -77,8 +77,8 @@
     /// Reads the next response.
     ///
     /// # Errors
-    /// A [`TransportError`] when the response is malformed, too large or cut short, and
-    /// [`TransportError::ConnectionClosed`] when the peer closed the connection.
+    /// A [`TransportError`] if the response is malformed or too large;
+    /// [`TransportError::ConnectionClosed`] if the peer closed the connection before its end.
     pub async fn receive(&mut self) -> Result<HttpResponse, TransportError> {
         let message =
             read_message::<_, ResponseDecoder, ResponseHead>(&mut self.framed, &self.limits)
