--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,32 +1,32 @@
-//! The steady clock of a process, as aggregates see time.
+//! Monotonic clock of a process.
 
 use std::time::{Duration, Instant};
 
 use gingerkeel_domain::time::Timestamp;
 
-/// Tells the time since it was started. Jumps of the time of day do not move it.
+/// A monotonic clock that counts from its start; changes of the wall clock do not affect it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self { origin: Instant::now() }
     }
 
-    /// The current time.
+    /// Time since the start.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO.after(self.origin.elapsed())
     }
 
-    /// The time of a moment since the clock was started.
-    pub fn at(&self, moment: Instant) -> Timestamp {
-        Timestamp::ZERO.after(moment.saturating_duration_since(self.origin))
+    /// Timestamp of a instant; zero if it precedes the start.
+    pub fn at(&self, instant: Instant) -> Timestamp {
+        Timestamp::ZERO.after(instant.saturating_duration_since(self.origin))
     }
 
-    /// Time from now until `due`; zero when it has passed.
+    /// Time from now until `due`; zero if `due` has passed.
     pub fn until(&self, due: Timestamp) -> Duration {
         due.since(self.now())
     }
