--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,4 +1,4 @@
-//! The side of a connection that answers requests.
+//! Server side of an HTTP connection.
 
 use bytes::BytesMut;
 use monoio::io::sink::{Sink, SinkExt};
@@ -13,27 +13,27 @@
 use crate::message::{HttpRequest, HttpResponse, RequestDecoder, payload, read_message};
 use crate::{Limits, TransportError};
 
-/// A connection on which a peer sends requests.
+/// A server connection; a peer sends requests on it.
 pub struct ServerConnection {
     reader: RequestReader,
     writer: ResponseWriter,
 }
 
-/// The half of a server connection that reads requests.
+/// The read half of a server connection.
 pub struct RequestReader {
     framed: FramedRead<OwnedReadHalf<TcpStream>, ()>,
     limits: Limits,
 }
 
-/// The half of a server connection that writes responses.
+/// The write half of a server connection.
 pub struct ResponseWriter {
     encoder: GenericEncoder<OwnedWriteHalf<TcpStream>>,
 }
 
 impl ServerConnection {
-    /// Takes over an accepted socket.
+    /// Wraps an accepted socket.
     pub fn new(stream: TcpStream, limits: Limits) -> Self {
-        // Latency is measured in milliseconds here; a socket without the option still works.
+        // Nagle's algorithm would add milliseconds of latency; a socket without the option works.
         let _ = stream.set_nodelay(true);
         let (read_half, write_half) = stream.into_split();
         Self {
@@ -42,29 +42,29 @@
         }
     }
 
-    /// Reads the next request; none when the peer closed the connection between requests.
+    /// Reads the next request; none if the peer closed the connection between requests.
     ///
     /// # Errors
-    /// A [`TransportError`] when the request is malformed, too large, too slow or cut short.
+    /// A [`TransportError`] if the request is malformed, too large, too slow or incomplete.
     pub async fn next_request(&mut self) -> Result<Option<HttpRequest>, TransportError> {
         self.reader.next_request().await
     }
 
-    /// Writes a response.
+    /// Writes and flushes a response.
     ///
     /// # Errors
-    /// A [`TransportError`] when the socket fails.
+    /// A [`TransportError`] if the socket fails.
     pub async fn respond(&mut self, response: HttpResponse) -> Result<(), TransportError> {
         self.writer.respond(response).await
     }
 
-    /// Splits the connection, so that one task reads while another one writes.
+    /// Splits the connection, so that reads and writes can be pending at the same time.
     pub fn into_split(self) -> (RequestReader, ResponseWriter) {
         (self.reader, self.writer)
     }
 }
 
-/// Takes whatever has arrived.
+/// Decoder that discards all buffered bytes and returns their number.
 struct Discard;
 
 impl Decoder for Discard {
@@ -79,11 +79,11 @@
 }
 
 impl RequestReader {
-    /// Waits for the first byte of the next request; false when the peer closed the connection.
-    /// Nothing is lost when the wait is given up.
+    /// Waits for the first byte of the next request; false if the peer closed the connection.
+    /// Cancel-safe: a cancelled wait loses no bytes.
     ///
     /// # Errors
-    /// A [`TransportError`] when the socket fails.
+    /// A [`TransportError`] if the socket fails.
     pub async fn wait(&mut self) -> Result<bool, TransportError> {
         if !self.framed.read_buffer().is_empty() {
             return Ok(true);
@@ -91,22 +91,22 @@
         Ok(!self.framed.peek_data().await?.is_empty())
     }
 
-    /// Reads and drops up to `limit` bytes until the peer closes the connection, so that closing
-    /// it here does not reset it before the peer has read its response.
+    /// Reads and discards up to `limit` bytes until the peer closes the connection. Closing a
+    /// connection with unread bytes resets it, and the peer could lose its response.
     pub async fn discard(&mut self, limit: usize) {
-        let mut dropped = 0;
+        let mut discarded = 0;
         while let Some(Ok(count)) = self.framed.next_with(&mut Discard).await {
-            dropped += count;
-            if dropped > limit {
+            discarded += count;
+            if discarded > limit {
                 return;
             }
         }
     }
 
-    /// Reads the next request; none when the peer closed the connection between requests.
+    /// Reads the next request; none if the peer closed the connection between requests.
     ///
     /// # Errors
-    /// A [`TransportError`] when the request is malformed, too large, too slow or cut short.
+    /// A [`TransportError`] if the request is malformed, too large, too slow or incomplete.
     pub async fn next_request(&mut self) -> Result<Option<HttpRequest>, TransportError> {
         if !self.wait().await? {
             return Ok(None);
@@ -121,10 +121,10 @@
 }
 
 impl ResponseWriter {
-    /// Writes a response.
+    /// Writes and flushes a response.
     ///
     /// # Errors
-    /// A [`TransportError`] when the socket fails.
+    /// A [`TransportError`] if the socket fails.
     pub async fn respond(&mut self, response: HttpResponse) -> Result<(), TransportError> {
         let (mut head, body) = response.into_parts();
         if body.is_empty() {
@@ -134,10 +134,11 @@
         self.encoder.send_and_flush(response).await?;
         Ok(())
     }
-    /// Tells the peer that nothing more will be sent.
+
+    /// Shuts down the write half; the peer reads an end of stream.
     ///
     /// # Errors
-    /// A [`TransportError`] when the socket fails.
+    /// A [`TransportError`] if the socket fails.
     pub async fn close(&mut self) -> Result<(), TransportError> {
         Sink::<http::Response<Payload>>::close(&mut self.encoder).await?;
         Ok(())
