--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,9 @@
-//! HTTP/1.1 connections with limits, over `monoio-http`.
+//! HTTP/1.1 connections with limits on message size and time, and the runtime, clock and file watch
+//! that all processes share.
 //!
-//! A [`ServerConnection`] reads requests of bounded size one at a time and writes a response to
-//! each; a [`ClientConnection`] does the reverse. Both own their socket.
+//! A [`ServerConnection`] reads requests of bounded size one at a time and writes their responses;
+//! a [`ClientConnection`] sends requests and reads responses of bounded size. Both use `monoio-http`
+//! and own their socket. The module [`http1`] has the streaming connections for forwarding.
 
 mod client;
 mod clock;
