--- a/crates/transport/src/error.rs
+++ b/crates/transport/src/error.rs
@@ -1,4 +1,4 @@
-//! Ways in which an HTTP connection fails.
+//! Errors of an HTTP connection.
 
 use std::io;
 
@@ -6,14 +6,14 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A failure of one HTTP connection; the connection is of no further use.
+    /// An error of an HTTP connection; the connection must not be used any more.
     #[derive(Debug)]
     pub enum TransportError {
-        /// The head is larger than the limit.
+        /// The head exceeds the limit in bytes.
         HeadTooLarge(limit: usize) {
             display("the head exceeds {limit} bytes: send fewer or shorter headers")
         }
-        /// The body is larger than the limit.
+        /// The body exceeds the limit in bytes.
         BodyTooLarge(limit: usize) {
             display("the body exceeds {limit} bytes: send a shorter body, or raise the limit in the settings")
         }
@@ -21,7 +21,7 @@
         Malformed(reason: String) {
             display("not a valid HTTP/1.1 message ({reason}): check the sender")
         }
-        /// The peer did not send a whole message in time.
+        /// The message was not received, or the response not written, in time.
         TimedOut {
             display("the message did not arrive in time: send it faster, or raise the limit in the settings")
         }
