--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -1,15 +1,15 @@
-//! Bounds on what a peer may send.
+//! Limits of messages from a peer.
 
 use std::time::Duration;
 
-/// Bounds on one message.
+/// Limits of a single message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of the start line and headers.
+    /// Maximum size of the start line and headers, in bytes.
     pub head_bytes: usize,
-    /// Bytes of the body.
+    /// Maximum size of the body, in bytes.
     pub body_bytes: usize,
-    /// Time from the first byte of a message to its last.
+    /// Maximum time from the first byte of a message to its last.
     pub message_time: Duration,
 }
 
