--- a/crates/transport/src/file_watch.rs
+++ b/crates/transport/src/file_watch.rs
@@ -1,4 +1,4 @@
-//! Tells when a file may have changed: by a signal, or by how it looks.
+//! Detects changes of a file, by SIGHUP or by polling its metadata.
 
 use std::io;
 use std::os::unix::net::UnixStream as StdUnixStream;
@@ -12,15 +12,15 @@
 use signal_hook::low_level::pipe;
 use tracing::warn;
 
-/// Time between two looks at the file.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
-/// Signals that are taken for one when they have come meanwhile.
-const SIGNAL_BYTES: usize = 64;
+/// Interval of polling the metadata.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of pending signals that are handled as one.
+const SIGNAL_BUFFER_BYTES: usize = 64;
 
-/// What tells one content of a file from the next without reading it.
+/// Modification time and size, which detect a change without reading the file.
 type Fingerprint = Option<(SystemTime, u64)>;
 
-/// Watches a file.
+/// Watches a file for changes.
 pub struct FileWatch {
     path: PathBuf,
     seen: Fingerprint,
@@ -28,10 +28,10 @@
 }
 
 impl FileWatch {
-    /// A watch of `path`; SIGHUP no longer ends the process.
+    /// Starts watching `path`; from now on SIGHUP does not end the process.
     ///
     /// # Errors
-    /// An [`io::Error`] when the signal cannot be watched.
+    /// An [`io::Error`] if the signal handler cannot be registered.
     pub fn start(path: &Path) -> io::Result<Self> {
         let (receiver, sender) = StdUnixStream::pair()?;
         pipe::register(SIGHUP, sender)?;
@@ -40,8 +40,8 @@
         Ok(Self { path: path.to_owned(), seen: fingerprint(path), signals })
     }
 
-    /// Reads the file anew for ever, whenever it may have changed, and hands over what it holds. Where it cannot
-    /// be used, what was handed over before stays in force.
+    /// Calls `read` whenever the file may have changed, and passes its result to `take`; never
+    /// returns. An error is logged, and the previous content stays in force.
     pub async fn read_changes<T>(
         mut self,
         read: impl Fn() -> Result<T, String>,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Ends once SIGHUP has come or the file looks different.
+    /// Waits for SIGHUP or a different fingerprint.
     async fn changed(&mut self) {
         loop {
             let signalled = monoio::select! {
-                (read, _) = self.signals.read(vec![0u8; SIGNAL_BYTES]) => read.is_ok(),
-                _ = sleep(LOOK_INTERVAL) => false,
+                (read, _) = self.signals.read(vec![0u8; SIGNAL_BUFFER_BYTES]) => read.is_ok(),
+                _ = sleep(POLL_INTERVAL) => false,
             };
             let now = fingerprint(&self.path);
             if signalled || now != self.seen {
@@ -75,7 +75,8 @@
     }
 }
 
-/// None when the file cannot be looked at, as while it is being replaced.
+/// Fingerprint of the file; none if its metadata cannot be read, for example while it is being
+/// replaced.
 fn fingerprint(path: &Path) -> Fingerprint {
     let metadata = std::fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
