--- a/crates/transport/tests/listener.rs
+++ b/crates/transport/tests/listener.rs
@@ -1,11 +1,11 @@
-//! Addresses are not shared.
+//! A second listener on an address is refused.
 
 use std::io::ErrorKind;
 
 use gingerkeel_transport::{block_on, listen};
 
 #[test]
-fn address_that_is_listened_on_is_refused() {
+fn address_in_use_is_refused() {
     block_on(async {
         let first = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let second = listen(first.local_addr().unwrap());
