--- a/crates/transport/tests/http1.rs
+++ b/crates/transport/tests/http1.rs
@@ -1,4 +1,4 @@
-//! Heads, framing and bodies of connections that forward.
+//! Heads, framing and bodies of forwarded messages.
 
 use bytes::{Bytes, BytesMut};
 use gingerkeel_transport::http1::{
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_head_is_taken_off_and_the_rest_is_left() {
+fn a_head_is_removed_from_the_buffer_and_the_rest_is_kept() {
     let mut buffer = BytesMut::from("GET /a/b?c HTTP/1.1\r\nHost: h\r\nX-Empty:\r\n\r\nrest");
     let head = parse_request(&mut buffer, LIMIT).expect("valid").expect("whole");
     assert_eq!(
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_partial_head_waits_and_a_large_one_is_refused() {
+fn a_partial_head_is_incomplete_and_a_large_head_is_an_error() {
     let mut partial = BytesMut::from("GET / HTTP/1.1\r\nHost:");
     assert_eq!(parse_request(&mut partial, LIMIT), Ok(None));
     let large = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(LIMIT));
@@ -44,7 +44,7 @@
 #[case("GET / HTTP/1.1\r\nBad Name: x\r\n\r\n")]
 #[case("\u{0}\u{1}\u{2}\r\n\r\n")]
 #[case("GET / HTTP/9.9\r\n\r\n")]
-fn what_is_no_head_is_refused(#[case] text: &str) {
+fn an_invalid_head_is_malformed(#[case] text: &str) {
     let parsed = parse_request(&mut BytesMut::from(text), LIMIT);
     assert!(matches!(parsed, Err(HeadError::Malformed(_))), "{parsed:?}");
 }
@@ -60,7 +60,7 @@
 #[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Err(HeadError::Framing))]
 #[case("Content-Length: +1\r\n", Err(HeadError::Framing))]
 #[case("Content-Length: 99999999999999999999999\r\n", Err(HeadError::Framing))]
-fn the_length_of_a_request_is_declared_once(
+fn a_request_with_ambiguous_framing_is_an_error(
     #[case] fields: &str,
     #[case] expected: Result<BodyFraming, HeadError>,
 ) {
@@ -73,7 +73,7 @@
 #[case("GET", 204, "", BodyFraming::None)]
 #[case("GET", 304, "Content-Length: 4\r\n", BodyFraming::None)]
 #[case("HEAD", 200, "Content-Length: 4\r\n", BodyFraming::None)]
-fn the_body_of_a_response_ends_as_its_head_says(
+fn the_framing_of_a_response_follows_from_its_method_and_head(
     #[case] method: &str,
     #[case] status: u16,
     #[case] fields: &str,
@@ -85,7 +85,7 @@
     assert_eq!(response_framing(method, &head), Ok(expected));
 }
 
-/// Feeds a body in pieces of `step` bytes; gives the body, or none when it did not end.
+/// Decodes a body received in pieces of `step` bytes; none if the body is incomplete.
 fn decode(framing: BodyFraming, bytes: &[u8], step: usize) -> Result<Option<Vec<u8>>, HeadError> {
     let mut decoder = BodyDecoder::new(framing);
     let (mut buffer, mut body) = (BytesMut::new(), Vec::new());
@@ -99,7 +99,7 @@
 }
 
 #[rstest]
-fn a_body_is_the_same_however_it_arrives(#[values(1, 2, 3, 7, 100)] step: usize) {
+fn a_body_decodes_the_same_in_pieces_of_any_size(#[values(1, 2, 3, 7, 100)] step: usize) {
     let chunked = b"4\r\nWiki\r\n5;x=y\r\npedia\r\n0\r\nTrailer: t\r\n\r\n";
     assert_eq!(decode(BodyFraming::Chunked, chunked, step), Ok(Some(b"Wikipedia".to_vec())));
     assert_eq!(decode(BodyFraming::Length(4), b"Wiki", step), Ok(Some(b"Wiki".to_vec())));
@@ -113,13 +113,13 @@
 #[case(b"4\nWiki")]
 #[case(b"1\r\nab\r\n")]
 #[case(b"\r\n")]
-fn malformed_chunks_are_refused(#[case] bytes: &[u8]) {
+fn malformed_chunks_are_an_error(#[case] bytes: &[u8]) {
     let decoded = decode(BodyFraming::Chunked, bytes, 100);
     assert!(matches!(decoded, Err(HeadError::Malformed(_))), "{decoded:?}");
 }
 
 #[test]
-fn a_decoder_takes_no_byte_beyond_the_body() {
+fn a_decoder_consumes_no_bytes_beyond_the_body() {
     let mut buffer = BytesMut::from("0\r\n\r\nnext");
     let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
     assert_eq!(decoder.decode(&mut buffer), Ok(None::<Bytes>));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_told_apart() {
+fn hop_by_hop_fields_are_recognised() {
     let headers = headers("Connection: close, X-Own\r\nX-Own: 1\r\nX-Other: 2\r\nTE: x\r\n");
     let hop: Vec<bool> = headers.iter().map(|(name, _)| headers.is_hop_by_hop(name)).collect();
     assert_eq!(hop, vec![true, true, false, true]);
@@ -139,6 +139,9 @@
 #[case("GET / HTTP/1.1\r\nConnection: foo, Close\r\n\r\n", false)]
 #[case("GET / HTTP/1.0\r\n\r\n", false)]
 #[case("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", true)]
-fn a_connection_stays_open_as_the_sender_says(#[case] text: &str, #[case] expected: bool) {
+fn keep_alive_follows_the_version_and_the_connection_field(
+    #[case] text: &str,
+    #[case] expected: bool,
+) {
     assert_eq!(request(text).keeps_alive(), expected);
 }
