--- a/crates/broker/benches/gather_cost.rs
+++ b/crates/broker/benches/gather_cost.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use support::caller::Caller;
-use support::leaf::{Act, ScriptedLeaf};
+use support::leaf::{LeafAction, ScriptedLeaf};
 use support::routed::{RoutedBroker, reply, request};
 
 /// Shards of the measured route.
@@ -55,7 +55,7 @@
         let turn = turn.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let [least, spread] = LEAF_TIME;
         sleep(least + spread.mul_f64((turn % 89) as f64 / 89.0));
-        Act::Send(reply(request, ATTESTATION, &PART))
+        LeafAction::Send(reply(request, ATTESTATION, &PART))
     })
 }
 
--- a/crates/broker/tests/at_most_once.rs
+++ b/crates/broker/tests/at_most_once.rs
@@ -8,24 +8,28 @@
 use rstest::rstest;
 use support::broker::Broker;
 use support::caller::{Caller, Query, issue_key};
+use support::closed_address;
 use support::control::catalog;
-use support::deaf_address;
-use support::leaf::{Act, LeafRequest, ScriptedLeaf, response};
+use support::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
 
-fn close(_request: &LeafRequest) -> Act {
-    Act::SendAndClose(Vec::new())
+fn close(_request: &LeafRequest) -> LeafAction {
+    LeafAction::SendAndClose(Vec::new())
 }
 
-fn half_a_reply(request: &LeafRequest) -> Act {
-    Act::SendAndClose(request.reply("a body")[..30].to_vec())
+fn half_a_reply(request: &LeafRequest) -> LeafAction {
+    LeafAction::SendAndClose(request.reply("a body")[..30].to_vec())
 }
 
-fn wrong_version(request: &LeafRequest) -> Act {
-    Act::Send(response(200, &request.reply_headers().replace("version: 3", "version: 2"), b""))
+fn wrong_version(request: &LeafRequest) -> LeafAction {
+    LeafAction::Send(response(
+        200,
+        &request.reply_headers().replace("version: 3", "version: 2"),
+        b"",
+    ))
 }
 
-fn error(request: &LeafRequest) -> Act {
-    Act::Send(response(500, &request.reply_headers(), b""))
+fn error(request: &LeafRequest) -> LeafAction {
+    LeafAction::Send(response(500, &request.reply_headers(), b""))
 }
 
 #[rstest]
@@ -34,7 +38,7 @@
 #[case::wrong_version(wrong_version)]
 #[case::error(error)]
 fn a_request_whose_reply_is_lost_is_written_once_and_its_outcome_unknown(
-    #[case] reply: fn(&LeafRequest) -> Act,
+    #[case] reply: fn(&LeafRequest) -> LeafAction,
 ) {
     let leaves = [ScriptedLeaf::scripted(reply), ScriptedLeaf::scripted(reply)];
     let broker = Broker::start(&catalog(&[&[leaves[0].address, leaves[1].address]]));
@@ -59,7 +63,7 @@
 
 #[test]
 fn a_request_that_no_leaf_could_be_sent_was_not_run() {
-    let broker = Broker::start(&catalog(&[&[deaf_address()]]));
+    let broker = Broker::start(&catalog(&[&[closed_address()]]));
     let response = broker.caller().ask(&Query::new("whole").once());
     assert_eq!(
         (response.outcome().as_str(), response.reason().as_str()),
@@ -70,7 +74,7 @@
 #[test]
 fn a_request_goes_to_another_leaf_when_the_first_cannot_be_reached() {
     let leaf = ScriptedLeaf::honest("right");
-    let broker = Broker::start(&catalog(&[&[deaf_address(), leaf.address]]));
+    let broker = Broker::start(&catalog(&[&[closed_address(), leaf.address]]));
     for _ in 0..5 {
         let response = broker.caller().ask(&Query::new("whole").once());
         assert_eq!(response.outcome(), "answered", "{}", response.body);
@@ -80,7 +84,7 @@
 
 #[test]
 fn a_connection_that_the_leaf_closed_while_it_idled_costs_no_request() {
-    let leaf = ScriptedLeaf::scripted(|request| Act::SendAndClose(request.reply("right")));
+    let leaf = ScriptedLeaf::scripted(|request| LeafAction::SendAndClose(request.reply("right")));
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     for _ in 0..3 {
         let response = broker.caller().ask(&Query::new("whole").once());
@@ -98,7 +102,7 @@
     let leaf = ScriptedLeaf::scripted(move |request| {
         // Ends with an error when the test is over.
         let _ = held.lock().expect("no thread panicked").recv();
-        Act::Send(request.reply("booked"))
+        LeafAction::Send(request.reply("booked"))
     });
     (leaf, release)
 }
@@ -204,7 +208,7 @@
 
 #[test]
 fn no_key_is_issued_to_a_caller_without_an_account() {
-    let broker = Broker::start(&catalog(&[&[deaf_address()]]));
+    let broker = Broker::start(&catalog(&[&[closed_address()]]));
     let mut caller: Caller = broker.caller();
     caller.send(b"POST /v1/request-keys HTTP/1.1\r\nhost: x\r\nx-caller: stranger\r\ncontent-length: 0\r\n\r\n");
     let response = caller.receive().expect("an answer");
--- a/crates/broker/tests/bad_input.rs
+++ b/crates/broker/tests/bad_input.rs
@@ -10,7 +10,7 @@
 use support::broker::Broker;
 use support::caller::{Caller, Query};
 use support::control::{apply, catalog};
-use support::leaf::{Act, ScriptedLeaf};
+use support::leaf::{LeafAction, ScriptedLeaf};
 use support::wait_until;
 
 /// Largest request body of these tests.
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_query_without_a_deadline_gets_that_of_its_class() {
-    let leaf = ScriptedLeaf::scripted(|_| Act::KeepSilent);
+    let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let mut catalog = catalog(&[&[leaf.address]]);
     let service = ServiceName::new("tickets");
     let whole = catalog.class(&service, &ClassName::new("whole")).expect("a class").clone();
@@ -140,7 +140,7 @@
 
 #[test]
 fn an_idle_connection_is_closed_but_not_one_that_waits_for_its_answer() {
-    let leaf = ScriptedLeaf::scripted(|_| Act::KeepSilent);
+    let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let broker = Broker::start_with(&catalog(&[&[leaf.address]]), "idle_time_ms = 50");
     let mut waiting = broker.caller();
     waiting.send(&Query::new("whole").with("x-deadline-ms", "700").bytes());
@@ -184,7 +184,7 @@
 
 #[test]
 fn a_caller_that_hangs_up_has_its_query_cancelled() {
-    let leaf = ScriptedLeaf::scripted(|_| Act::KeepSilent);
+    let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut caller = broker.caller();
     caller.send(&Query::new("whole").bytes());
@@ -226,7 +226,7 @@
 #[test]
 fn requests_that_are_sent_together_are_answered_in_order() {
     let leaf = ScriptedLeaf::scripted(|request| {
-        Act::Send(request.reply(&String::from_utf8_lossy(&request.body)))
+        LeafAction::Send(request.reply(&String::from_utf8_lossy(&request.body)))
     });
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let bodies = ["one", "two", "three"];
--- a/crates/broker/tests/control_links.rs
+++ b/crates/broker/tests/control_links.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use support::broker::Broker;
+use support::closed_address;
 use support::control::{ScriptedControl, catalog};
-use support::deaf_address;
 
 /// Longest that the broker may take; three connections that are waited for in turn take longer.
 const LIMIT: Duration = Duration::from_millis(1_200);
@@ -36,7 +36,7 @@
     let silent: Vec<SocketAddr> = silent.iter().map(|host| host.address).collect();
     // The order in which they are tried begins anywhere.
     for _ in 0..4 {
-        let control = ScriptedControl::serve(&catalog(&[&[deaf_address()]]));
+        let control = ScriptedControl::serve(&catalog(&[&[closed_address()]]));
         let began = Instant::now();
         let broker = Broker::start_among(&silent, control, "control_pause_ms = 100");
         let took = began.elapsed();
--- a/crates/broker/tests/crashing_requests.rs
+++ b/crates/broker/tests/crashing_requests.rs
@@ -12,8 +12,8 @@
 use gingerkeel_protocol::{FeedMessage, SubscriberMessage, decode_document, encode_document};
 use rstest::rstest;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf, response};
-use support::routed::{RoutedBroker, configuration, directory, honest, news, reply};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
+use support::routed::{RoutedBroker, configuration, directory, feed_messages, honest, reply};
 use support::wait_until;
 
 /// What paths of requests hold that crash leaves.
@@ -27,11 +27,11 @@
     let leaf = Arc::new(ScriptedLeaf::for_all(move |request| {
         sleep(Duration::from_millis(5));
         if !request.head.contains(CRASHING) {
-            return Act::Send(reply(request, attestation, &[b'x'; 16]));
+            return LeafAction::Send(reply(request, attestation, &[b'x'; 16]));
         }
         // The leaf may be ending already.
         let _ = crash.try_send(());
-        Act::KeepSilent
+        LeafAction::NoReply
     }));
     let ending = leaf.clone();
     spawn(move || {
@@ -123,7 +123,7 @@
 /// The leaf closes connections and goes on: nothing speaks against the request.
 #[test]
 fn a_lost_connection_alone_speaks_against_no_request() {
-    let careless = ScriptedLeaf::for_all(|_| Act::SendAndClose(Vec::new()));
+    let careless = ScriptedLeaf::for_all(|_| LeafAction::SendAndClose(Vec::new()));
     let broker = RoutedBroker::start(&[careless.address], &[]);
     for _ in 0..4 {
         assert_eq!(broker.get("/once/").status, 502);
@@ -140,10 +140,11 @@
     let found = vec![reported_refusal(&first)];
 
     let kept = honest("kept", b"body");
-    let mut news = news(&configuration(0), &directory(&[kept.address], &[]));
+    let mut feed_messages = feed_messages(&configuration(0), &directory(&[kept.address], &[]));
     let findings = encode_document(&found).expect("a document").into();
-    news.push(FeedMessage::CrashFindings { findings });
-    let second = RoutedBroker::start_on(ControlScript { news, ..ControlScript::default() }, "");
+    feed_messages.push(FeedMessage::CrashFindings { findings });
+    let second =
+        RoutedBroker::start_on(ControlScript { feed_messages, ..ControlScript::default() }, "");
     wait_until("it is told", || second.broker.log().contains("source=told"));
     assert_eq!(second.get("/one/crashing").status, 503);
     assert_eq!(second.get("/one/other").status, 200);
@@ -161,9 +162,9 @@
 /// A broker of which the control tier refuses a request, over these leaves.
 fn refusing(path: &str, leaves: &[SocketAddr], grants_trials: Option<bool>) -> RoutedBroker {
     let digest = gingerkeel_broker::routes::request_digest("GET", "h", path, b"");
-    let mut news = news(&configuration(0), &directory(leaves, &[]));
-    news.insert(0, due(digest));
-    let script = ControlScript { news, grants_trials, ..ControlScript::default() };
+    let mut feed_messages = feed_messages(&configuration(0), &directory(leaves, &[]));
+    feed_messages.insert(0, due(digest));
+    let script = ControlScript { feed_messages, grants_trials, ..ControlScript::default() };
     RoutedBroker::start_on(script, "")
 }
 
@@ -210,8 +211,9 @@
 #[case::overload(503)]
 fn a_suspicion_is_not_cleared_by_a_failure_of_another_leaf(#[case] status: u16) {
     let lost = crashing("leaf");
-    let failing =
-        ScriptedLeaf::for_all(move |_| Act::Send(response(status, "x-queue: full\r\n", b"")));
+    let failing = ScriptedLeaf::for_all(move |_| {
+        LeafAction::Send(response(status, "x-queue: full\r\n", b""))
+    });
     let broker = RoutedBroker::start(&[lost.address, failing.address], &[]);
     assert_eq!(broker.get("/one/crashing").status, status);
     wait_until("the end is seen", || {
@@ -225,7 +227,7 @@
 fn the_end_of_a_leaf_is_not_missed_when_its_request_is_given_up() {
     let lost: Vec<Arc<ScriptedLeaf>> = (0..2).map(|_| crashing("part")).collect();
     let others: Vec<ScriptedLeaf> = (0..3)
-        .map(|_| ScriptedLeaf::for_all(|_| Act::Send(response(421, "", b"another leaf"))))
+        .map(|_| ScriptedLeaf::for_all(|_| LeafAction::Send(response(421, "", b"another leaf"))))
         .collect();
     let shard = [lost[0].address, lost[1].address];
     let taken: Vec<[SocketAddr; 1]> = others.iter().map(|leaf| [leaf.address]).collect();
--- a/crates/broker/tests/ended_leaves.rs
+++ b/crates/broker/tests/ended_leaves.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::leaf::{Act, ScriptedLeaf, response};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
 use support::routed::{RoutedBroker, honest, reply};
 
 /// Time after the end of a leaf from which on another one may have its address.
@@ -28,7 +28,7 @@
 
 /// A leaf that has the address of another one, and runs nothing that is meant for that.
 fn successor_of(ended: &ScriptedLeaf) -> ScriptedLeaf {
-    let refusal = |_: &_| Act::Send(response(421, "gingerkeel-not-executed: 1\r\n", b""));
+    let refusal = |_: &_| LeafAction::Send(response(421, "gingerkeel-not-executed: 1\r\n", b""));
     ScriptedLeaf::for_all_at(ended.address, refusal)
 }
 
@@ -37,7 +37,7 @@
 #[case::asked_all_the_time(Duration::ZERO)]
 #[case::asked_once_before_its_address_is_taken(ADDRESS_REUSE)]
 fn no_request_reaches_the_leaf_that_has_the_address_of_an_ended_one(#[case] silence: Duration) {
-    let near = ScriptedLeaf::for_all(|request| Act::Send(reply(request, "near", b"body")));
+    let near = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "near", b"body")));
     let far = honest("far", b"body");
     let broker = RoutedBroker::start(&[near.address, far.address], &[]);
     ask_for(&broker, Duration::from_millis(200));
--- a/crates/broker/tests/leaf_choice.rs
+++ b/crates/broker/tests/leaf_choice.rs
@@ -11,14 +11,14 @@
 use gingerkeel_domain::routes::RegionPolicy;
 use rstest::rstest;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf, response};
-use support::routed::{RoutedBroker, configuration, directory, honest, news, rejection};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
+use support::routed::{RoutedBroker, configuration, directory, feed_messages, honest, rejection};
 use support::wait_until;
 
 /// The broker's zone is in region `south`; the region of the second leaf's zone is not known.
 #[test]
 fn requests_stay_in_the_regions_of_their_route_also_when_they_are_sent_again() {
-    let near = ScriptedLeaf::for_all(|_| Act::Send(rejection()));
+    let near = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let elsewhere = honest("stamp", b"body");
     let mut routes = configuration(0);
     for route in &mut routes.routes {
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_leaf_whose_address_another_one_has_is_asked_once() {
-    let stranger = ScriptedLeaf::for_all(|_| Act::Send(response(421, "", b"")));
+    let stranger = ScriptedLeaf::for_all(|_| LeafAction::Send(response(421, "", b"")));
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start(&[stranger.address, leaf.address], &[]);
     for _ in 0..5 {
@@ -69,8 +69,8 @@
 fn leaves_of_an_evacuated_zone_get_nothing_from_the_first_request_on() {
     let (near, other) = (honest("near", b"near"), honest("other", b"other"));
     let leaves = directory(&[near.address, other.address], &[&[near.address]]);
-    let news = news(&configuration(1), &leaves);
-    let script = ControlScript { evacuated: vec!["a"], news, ..ControlScript::default() };
+    let feed_messages = feed_messages(&configuration(1), &leaves);
+    let script = ControlScript { evacuated: vec!["a"], feed_messages, ..ControlScript::default() };
     let broker = RoutedBroker::start_on(script, "");
     for _ in 0..3 {
         assert_eq!(broker.get("/one/").body, "other");
@@ -115,10 +115,10 @@
         let fields = format!(
             "gingerkeel-request-id: {id}\r\ngingerkeel-attestation: a\r\ngingerkeel-load: 4, 3,4,250\r\n"
         );
-        Act::Send(response(200, &fields, b""))
+        LeafAction::Send(response(200, &fields, b""))
     });
-    let news = news(&configuration(0), &directory(&[leaf.address], &[]));
-    let script = ControlScript { news, ..ControlScript::default() };
+    let feed_messages = feed_messages(&configuration(0), &directory(&[leaf.address], &[]));
+    let script = ControlScript { feed_messages, ..ControlScript::default() };
     let broker = RoutedBroker::start_on(script, "log_sample = 1\n");
     assert_eq!(broker.get("/one/").status, 200);
     assert_eq!(broker.get("/one/").status, 200);
--- a/crates/broker/tests/leaf_replies.rs
+++ b/crates/broker/tests/leaf_replies.rs
@@ -6,64 +6,64 @@
 use support::broker::Broker;
 use support::caller::Query;
 use support::control::catalog;
-use support::leaf::{Act, LeafRequest, ScriptedLeaf, response};
+use support::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
 
 /// Bytes beyond what a broker takes from a leaf.
 const TOO_MANY_BYTES: usize = 2 * 1024 * 1024;
 
-fn cut_short(request: &LeafRequest) -> Act {
+fn cut_short(request: &LeafRequest) -> LeafAction {
     let mut reply = request.reply("a long body");
     reply.truncate(reply.len() - 4);
-    Act::SendAndClose(reply)
+    LeafAction::SendAndClose(reply)
 }
 
-fn cut_in_head(request: &LeafRequest) -> Act {
-    Act::SendAndClose(request.reply("body")[..20].to_vec())
+fn cut_in_head(request: &LeafRequest) -> LeafAction {
+    LeafAction::SendAndClose(request.reply("body")[..20].to_vec())
 }
 
-fn nothing(_request: &LeafRequest) -> Act {
-    Act::SendAndClose(Vec::new())
+fn nothing(_request: &LeafRequest) -> LeafAction {
+    LeafAction::SendAndClose(Vec::new())
 }
 
-fn other_version(request: &LeafRequest) -> Act {
+fn other_version(request: &LeafRequest) -> LeafAction {
     let headers = request.reply_headers().replace("version: 3", "version: 4");
-    Act::Send(response(200, &headers, b"wrong"))
+    LeafAction::Send(response(200, &headers, b"wrong"))
 }
 
-fn other_epoch(request: &LeafRequest) -> Act {
+fn other_epoch(request: &LeafRequest) -> LeafAction {
     let headers = request.reply_headers().replace("epoch: 1", "epoch: 0");
-    Act::Send(response(200, &headers, b"wrong"))
+    LeafAction::Send(response(200, &headers, b"wrong"))
 }
 
-fn other_request(request: &LeafRequest) -> Act {
+fn other_request(request: &LeafRequest) -> LeafAction {
     let headers = request.reply_headers().replace("request-id: ", "request-id: other-");
-    Act::Send(response(200, &headers, b"wrong"))
+    LeafAction::Send(response(200, &headers, b"wrong"))
 }
 
-fn no_request(request: &LeafRequest) -> Act {
+fn no_request(request: &LeafRequest) -> LeafAction {
     let headers = request.reply_headers().replace("x-request-id", "x-nothing");
-    Act::Send(response(200, &headers, b"wrong"))
+    LeafAction::Send(response(200, &headers, b"wrong"))
 }
 
-fn no_version(request: &LeafRequest) -> Act {
+fn no_version(request: &LeafRequest) -> LeafAction {
     let headers = request.reply_headers().replace("x-index-version", "x-nothing");
-    Act::Send(response(200, &headers, b"wrong"))
+    LeafAction::Send(response(200, &headers, b"wrong"))
 }
 
-fn no_text(request: &LeafRequest) -> Act {
-    Act::Send(response(200, &request.reply_headers(), &[0xff, 0xfe, 0x00]))
+fn no_text(request: &LeafRequest) -> LeafAction {
+    LeafAction::Send(response(200, &request.reply_headers(), &[0xff, 0xfe, 0x00]))
 }
 
-fn unknown_refusal(request: &LeafRequest) -> Act {
+fn unknown_refusal(request: &LeafRequest) -> LeafAction {
     let headers = format!("{}x-not-run: whatever\r\n", request.reply_headers());
-    Act::Send(response(503, &headers, b""))
+    LeafAction::Send(response(503, &headers, b""))
 }
 
-fn oversized_body(request: &LeafRequest) -> Act {
-    Act::SendAndClose(response(200, &request.reply_headers(), &vec![b'x'; TOO_MANY_BYTES]))
+fn oversized_body(request: &LeafRequest) -> LeafAction {
+    LeafAction::SendAndClose(response(200, &request.reply_headers(), &vec![b'x'; TOO_MANY_BYTES]))
 }
 
-fn oversized_chunks(request: &LeafRequest) -> Act {
+fn oversized_chunks(request: &LeafRequest) -> LeafAction {
     let mut reply =
         format!("HTTP/1.1 200 X\r\n{}transfer-encoding: chunked\r\n\r\n", request.reply_headers())
             .into_bytes();
@@ -73,25 +73,25 @@
         reply.extend_from_slice(b"\r\n");
     }
     reply.extend_from_slice(b"0\r\n\r\n");
-    Act::SendAndClose(reply)
+    LeafAction::SendAndClose(reply)
 }
 
-fn oversized_head(request: &LeafRequest) -> Act {
+fn oversized_head(request: &LeafRequest) -> LeafAction {
     let padding = format!("x-padding: {}\r\n", "x".repeat(32 * 1024));
-    Act::Send(response(200, &format!("{}{padding}", request.reply_headers()), b"wrong"))
+    LeafAction::Send(response(200, &format!("{}{padding}", request.reply_headers()), b"wrong"))
 }
 
-fn two_lengths(request: &LeafRequest) -> Act {
+fn two_lengths(request: &LeafRequest) -> LeafAction {
     let headers = format!("{}content-length: 3\r\n", request.reply_headers());
-    Act::Send(response(200, &headers, b"wrong"))
+    LeafAction::Send(response(200, &headers, b"wrong"))
 }
 
-fn garbage(_request: &LeafRequest) -> Act {
-    Act::SendAndClose(b"\x16\x03\x01 this is not HTTP\r\n\r\n".to_vec())
+fn garbage(_request: &LeafRequest) -> LeafAction {
+    LeafAction::SendAndClose(b"\x16\x03\x01 this is not HTTP\r\n\r\n".to_vec())
 }
 
-fn leaf_error(request: &LeafRequest) -> Act {
-    Act::Send(response(500, &request.reply_headers(), b"wrong"))
+fn leaf_error(request: &LeafRequest) -> LeafAction {
+    LeafAction::Send(response(500, &request.reply_headers(), b"wrong"))
 }
 
 /// A fleet of an honest leaf for shard 0 and a bad one for shard 1.
@@ -112,7 +112,7 @@
 #[case::two_lengths(two_lengths)]
 #[case::garbage(garbage)]
 #[case::leaf_error(leaf_error)]
-fn a_bad_reply_is_not_merged_and_its_shard_is_named(#[case] reply: fn(&LeafRequest) -> Act) {
+fn a_bad_reply_is_not_merged_and_its_shard_is_named(#[case] reply: fn(&LeafRequest) -> LeafAction) {
     let (honest, bad) = (ScriptedLeaf::honest("right"), ScriptedLeaf::scripted(reply));
     let broker = Broker::start(&catalog(&[&[honest.address], &[bad.address]]));
     let mut caller = broker.caller();
@@ -132,7 +132,7 @@
 fn a_reply_that_comes_twice_is_not_taken_for_the_next_request() {
     let leaf = ScriptedLeaf::scripted(|request| {
         let body = String::from_utf8_lossy(&request.body).into_owned();
-        Act::Send([request.reply(&body), request.reply(&body)].concat())
+        LeafAction::Send([request.reply(&body), request.reply(&body)].concat())
     });
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut caller = broker.caller();
@@ -152,7 +152,7 @@
     let honest = ScriptedLeaf::honest("right");
     let shedding = ScriptedLeaf::scripted(|request| {
         let headers = format!("{}x-not-run: shedding\r\n", request.reply_headers());
-        Act::Send(response(503, &headers, b""))
+        LeafAction::Send(response(503, &headers, b""))
     });
     let broker = Broker::start(&catalog(&[&[honest.address], &[shedding.address]]));
     let answer = broker.caller().ask(&Query::new("whole")).json();
@@ -163,7 +163,7 @@
 fn when_no_leaf_ran_anything_the_query_was_not_run() {
     let shedding = ScriptedLeaf::scripted(|request| {
         let headers = format!("{}x-not-run: shedding\r\n", request.reply_headers());
-        Act::Send(response(503, &headers, b""))
+        LeafAction::Send(response(503, &headers, b""))
     });
     let broker = Broker::start(&catalog(&[&[shedding.address]]));
     let response = broker.caller().ask(&Query::new("whole"));
@@ -183,7 +183,7 @@
     let honest = ScriptedLeaf::honest("right");
     let slow = ScriptedLeaf::scripted(|request| {
         std::thread::sleep(std::time::Duration::from_millis(1500));
-        Act::Send(request.reply("late"))
+        LeafAction::Send(request.reply("late"))
     });
     let broker = Broker::start(&catalog(&[&[honest.address], &[slow.address]]));
     let response = broker.caller().ask(&Query::new(class));
--- a/crates/broker/tests/leaf_warnings.rs
+++ b/crates/broker/tests/leaf_warnings.rs
@@ -10,8 +10,10 @@
 use gingerkeel_domain::leaf_warnings::{LeafObservation, LeafWarning, WarningCause};
 use gingerkeel_protocol::{FeedMessage, SubscriberMessage, decode_document, encode_document};
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf};
-use support::routed::{RoutedBroker, configuration, directory, honest, news, records, reply};
+use support::leaf::{LeafAction, ScriptedLeaf};
+use support::routed::{
+    RoutedBroker, configuration, directory, feed_messages, honest, records, reply,
+};
 use support::wait_until;
 
 #[test]
@@ -25,9 +27,10 @@
         for_ms: 60_000,
     }];
     let warnings = encode_document(&warnings.to_vec()).expect("a document").into();
-    let mut news = news(&configuration, &directory);
-    news.push(FeedMessage::LeafWarnings { warnings });
-    let broker = RoutedBroker::start_on(ControlScript { news, ..ControlScript::default() }, "");
+    let mut feed_messages = feed_messages(&configuration, &directory);
+    feed_messages.push(FeedMessage::LeafWarnings { warnings });
+    let broker =
+        RoutedBroker::start_on(ControlScript { feed_messages, ..ControlScript::default() }, "");
     wait_until("the warning is taken", || broker.broker.log().contains("event=leaves_avoided"));
     for _ in 0..5 {
         assert_eq!(broker.get("/one/").body, "other");
@@ -38,13 +41,13 @@
 fn a_leaf_that_is_slower_than_those_of_the_other_shards_is_reported() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(150));
-        Act::Send(reply(request, "slow", &records(b"a")))
+        LeafAction::Send(reply(request, "slow", &records(b"a")))
     });
     let quick: Vec<ScriptedLeaf> = (0..6)
         .map(|_| {
             ScriptedLeaf::for_all(|request| {
                 sleep(Duration::from_millis(5));
-                Act::Send(reply(request, "quick", &records(b"b")))
+                LeafAction::Send(reply(request, "quick", &records(b"b")))
             })
         })
         .collect();
--- a/crates/broker/tests/metrics.rs
+++ b/crates/broker/tests/metrics.rs
@@ -7,13 +7,14 @@
 use support::broker::Broker;
 use support::caller::{Caller, Query};
 use support::control::catalog;
-use support::leaf::{Act, ScriptedLeaf, response};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
 
 #[test]
 fn metrics_count_queries_by_class_and_outcome_and_requests_to_leaves() {
     let honest = ScriptedLeaf::honest("right");
-    let failing =
-        ScriptedLeaf::scripted(|request| Act::Send(response(500, &request.reply_headers(), b"")));
+    let failing = ScriptedLeaf::scripted(|request| {
+        LeafAction::Send(response(500, &request.reply_headers(), b""))
+    });
     let catalog = catalog(&[&[honest.address], &[failing.address]]);
     let broker = Broker::start(&catalog);
     for _ in 0..2 {
--- a/crates/broker/tests/operations.rs
+++ b/crates/broker/tests/operations.rs
@@ -10,9 +10,9 @@
 
 use rustix::process::Signal;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf};
-use support::routed::{RoutedBroker, configuration, directory, news, reply, request};
-use support::{deaf_address, wait_until};
+use support::leaf::{LeafAction, ScriptedLeaf};
+use support::routed::{RoutedBroker, configuration, directory, feed_messages, reply, request};
+use support::{closed_address, wait_until};
 use tempfile::TempDir;
 
 /// The commands of a section of the page, in their order.
@@ -67,8 +67,8 @@
 
 #[test]
 fn the_leaf_is_found_that_an_answer_lacks() {
-    let good = ScriptedLeaf::for_all(|request| Act::Send(reply(request, "g", &[1; 16])));
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let good = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "g", &[1; 16])));
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[], &[&[good.address], &[silent.address]]);
     assert_eq!(broker.get("/all/").status, 200);
     logged(&broker, "event=leaf_asked");
@@ -81,7 +81,7 @@
 
 #[test]
 fn the_leaf_is_found_that_let_a_request_run_into_its_time_out() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
     caller.send(request("/once/", "200").as_bytes());
@@ -98,7 +98,7 @@
 fn a_refusal_for_lack_of_capacity_is_traced_to_the_leaves() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(700));
-        Act::Send(reply(request, "s", b"x"))
+        LeafAction::Send(reply(request, "s", b"x"))
     });
     let broker = RoutedBroker::start(&[slow.address], &[]);
     // Late answers by the dozen, until the broker limits what is under way.
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_request_that_was_lost_with_its_broker_has_no_line() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let mut broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
     caller.send(request("/once/", "3000").as_bytes());
@@ -156,10 +156,11 @@
 
 #[test]
 fn ordinary_requests_are_logged_by_sample() {
-    let good = ScriptedLeaf::for_all(|request| Act::Send(reply(request, "g", b"x")));
+    let good = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "g", b"x")));
     for (sample, expected) in [("0", false), ("1", true)] {
-        let news = news(&configuration(0), &directory(&[good.address, deaf_address()], &[]));
-        let script = ControlScript { news, ..ControlScript::default() };
+        let feed_messages =
+            feed_messages(&configuration(0), &directory(&[good.address, closed_address()], &[]));
+        let script = ControlScript { feed_messages, ..ControlScript::default() };
         let broker = RoutedBroker::start_on(script, &format!("log_sample = {sample}"));
         assert_eq!(broker.get("/one/").status, 200);
         sleep(Duration::from_millis(50));
--- a/crates/broker/tests/planned_stop.rs
+++ b/crates/broker/tests/planned_stop.rs
@@ -9,7 +9,7 @@
 use support::broker::Broker;
 use support::caller::{Caller, Query, issue_key};
 use support::control::catalog;
-use support::leaf::{Act, ScriptedLeaf};
+use support::leaf::{LeafAction, ScriptedLeaf};
 use support::wait_until;
 
 /// A leaf that answers once the test lets it, and the means to let it.
@@ -19,7 +19,7 @@
     let leaf = ScriptedLeaf::scripted(move |request| {
         // Ends with an error when the test is over.
         let _ = held.lock().expect("no thread panicked").recv();
-        Act::Send(request.reply("finished"))
+        LeafAction::Send(request.reply("finished"))
     });
     (leaf, release)
 }
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_query_that_no_leaf_answers_ends_at_its_deadline_and_so_does_the_broker() {
-    let leaf = ScriptedLeaf::scripted(|_| Act::KeepSilent);
+    let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut caller = broker.caller();
     caller.send(&Query::new("whole").with("x-deadline-ms", "1500").bytes());
--- a/crates/broker/tests/quotas.rs
+++ b/crates/broker/tests/quotas.rs
@@ -12,8 +12,10 @@
 use gingerkeel_protocol::{FeedMessage, SubscriberMessage, decode_document, encode_document};
 use support::caller::Response;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf};
-use support::routed::{RoutedBroker, configuration, directory, honest, news, rejection, reply};
+use support::leaf::{LeafAction, ScriptedLeaf};
+use support::routed::{
+    RoutedBroker, configuration, directory, feed_messages, honest, rejection, reply,
+};
 use support::wait_until;
 
 /// The key of the tenant `kiosk`.
@@ -43,11 +45,11 @@
 
 fn start(configuration: &RouteConfiguration, single: &[&ScriptedLeaf]) -> RoutedBroker {
     let addresses: Vec<SocketAddr> = single.iter().map(|leaf| leaf.address).collect();
-    start_on(news(configuration, &directory(&addresses, &[])), false)
+    start_on(feed_messages(configuration, &directory(&addresses, &[])), false)
 }
 
-fn start_on(news: Vec<FeedMessage>, closes_on_usage: bool) -> RoutedBroker {
-    let script = ControlScript { news, closes_on_usage, ..ControlScript::default() };
+fn start_on(feed_messages: Vec<FeedMessage>, closes_on_usage: bool) -> RoutedBroker {
+    let script = ControlScript { feed_messages, closes_on_usage, ..ControlScript::default() };
     RoutedBroker::start_on(script, EXACT)
 }
 
@@ -124,7 +126,7 @@
     let leaves: Vec<ScriptedLeaf> = (0..8).map(|_| honest("stamp", b"")).collect();
     let addresses: Vec<[SocketAddr; 1]> = leaves.iter().map(|leaf| [leaf.address]).collect();
     let shards: Vec<&[SocketAddr]> = addresses.iter().map(|address| &address[..]).collect();
-    let broker = start_on(news(&limited(8, AMPLE), &directory(&[], &shards)), false);
+    let broker = start_on(feed_messages(&limited(8, AMPLE), &directory(&[], &shards)), false);
     assert_eq!(statuses(&broker, "/all/", 3), [200; 3]);
     wait_reported(&broker, 3);
 }
@@ -134,7 +136,7 @@
     let tries = AtomicUsize::new(0);
     let leaf = ScriptedLeaf::for_all(move |request| {
         let is_first = tries.fetch_add(1, Ordering::Relaxed).is_multiple_of(2);
-        Act::Send(if is_first { rejection() } else { reply(request, "stamp", b"body") })
+        LeafAction::Send(if is_first { rejection() } else { reply(request, "stamp", b"body") })
     });
     let broker = start(&limited(0, AMPLE), &[&leaf, &leaf]);
     assert_eq!(statuses(&broker, "/one/", 3), [200; 3]);
@@ -164,9 +166,9 @@
 #[test]
 fn news_that_the_quota_is_used_up_elsewhere_refuse_here() {
     let leaf = honest("stamp", b"body");
-    let mut news = news(&limited(0, 20), &directory(&[leaf.address], &[]));
-    news.push(told(-100));
-    let broker = start_on(news, false);
+    let mut feed_messages = feed_messages(&limited(0, 20), &directory(&[leaf.address], &[]));
+    feed_messages.push(told(-100));
+    let broker = start_on(feed_messages, false);
     assert_eq!(statuses(&broker, "/one/", 5), [429; 5]);
     assert!(leaf.requests().is_empty());
 }
@@ -182,8 +184,8 @@
 #[test]
 fn what_a_lost_link_may_not_have_brought_is_reported_on_the_next() {
     let leaf = honest("stamp", b"body");
-    let news = news(&limited(0, AMPLE), &directory(&[leaf.address], &[]));
-    let broker = start_on(news, true);
+    let feed_messages = feed_messages(&limited(0, AMPLE), &directory(&[leaf.address], &[]));
+    let broker = start_on(feed_messages, true);
     assert_eq!(get(&broker, "/one/").status, 200);
     wait_until("two links brought it", || {
         reported(&broker).iter().filter(|report| **report == (1, 1)).count() >= 2
--- a/crates/broker/tests/reload.rs
+++ b/crates/broker/tests/reload.rs
@@ -5,22 +5,22 @@
 use gingerkeel_domain::routes::RouteVersion;
 use rstest::rstest;
 use rustix::process::Signal;
+use support::closed_address;
 use support::control::{ControlScript, ScriptedControl, catalog};
-use support::deaf_address;
-use support::leaf::{Act, ScriptedLeaf};
-use support::routed::{RoutedBroker, configuration, directory, news, reply};
+use support::leaf::{LeafAction, ScriptedLeaf};
+use support::routed::{RoutedBroker, configuration, directory, feed_messages, reply};
 use support::wait_until;
 
 /// A control process that tells of this version of the configuration.
 fn script(version: u64, renews: bool) -> ControlScript {
-    let leaf = ScriptedLeaf::for_all(|request| Act::Send(reply(request, "s", b"x")));
+    let leaf = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "s", b"x")));
     let mut configuration = configuration(0);
     configuration.version = RouteVersion(version);
-    let news = news(&configuration, &directory(&[leaf.address], &[]));
+    let feed_messages = feed_messages(&configuration, &directory(&[leaf.address], &[]));
     let default = ControlScript::default();
     // One that renews no more is left soon; one that does has a lease that outlasts its renewals.
     let lease_milliseconds = if renews { default.lease_milliseconds } else { 1_000 };
-    ControlScript { news, lease_milliseconds, renews, ..default }
+    ControlScript { feed_messages, lease_milliseconds, renews, ..default }
 }
 
 fn in_force(broker: &RoutedBroker, version: u64) -> bool {
@@ -32,7 +32,7 @@
 #[case::without_one(false)]
 fn control_processes_that_new_settings_name_are_asked(#[case] signal: bool) {
     let broker = RoutedBroker::start_on(script(1, false), "");
-    let successor = ScriptedControl::serve_with(&catalog(&[&[deaf_address()]]), script(2, true));
+    let successor = ScriptedControl::serve_with(&catalog(&[&[closed_address()]]), script(2, true));
     let former = broker.broker.control.address.to_string();
     broker.broker.change_settings(|text| text.replace(&former, &successor.address.to_string()));
     if signal {
--- a/crates/broker/tests/rollouts.rs
+++ b/crates/broker/tests/rollouts.rs
@@ -15,8 +15,8 @@
 use gingerkeel_protocol::{SubscriberMessage, decode_document};
 use rstest::rstest;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf, response};
-use support::routed::{RoutedBroker, SINGLE, configuration, directory, honest, news};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
+use support::routed::{RoutedBroker, SINGLE, configuration, directory, feed_messages, honest};
 use support::wait_until;
 
 /// Requests by which a share shows.
@@ -50,7 +50,7 @@
 
 /// A step to a stage. The roll-out is the first change after those of the scripted catalog.
 fn step(stage: RolloutStage) -> Change {
-    let before = support::control::catalog(&[&[support::deaf_address()]]).revision();
+    let before = support::control::catalog(&[&[support::closed_address()]]).revision();
     let begun = Revision(before.0 + 1);
     Change::AdvanceRollout(RolloutAdvance { service: ServiceName::new(SINGLE), begun, stage })
 }
@@ -64,11 +64,11 @@
 /// A broker that knows a roll-out at the end of these stages before it knows any leaf.
 fn scene(stages: &[RolloutStage], target: ScriptedLeaf, script: ControlScript) -> Scene {
     let present = honest("stamp", b"present");
-    let news = news(&configuration(0), &two_versions(&present, &target));
+    let feed_messages = feed_messages(&configuration(0), &two_versions(&present, &target));
     let order = Change::BeginRollout(order());
     let changes = std::iter::once(order).chain(stages.iter().copied().map(step)).collect();
     let broker = RoutedBroker::start_on(
-        ControlScript { news, changes, ..script },
+        ControlScript { feed_messages, changes, ..script },
         "out_of_touch = \"serve\"",
     );
     Scene { broker, present, target }
@@ -109,7 +109,7 @@
 fn a_failure_of_the_version_is_made_up_for_by_a_present_leaf() {
     let failing = ScriptedLeaf::for_all(|request| {
         let id = request.header("gingerkeel-request-id");
-        Act::Send(response(500, &format!("gingerkeel-request-id: {id}\r\n"), b"fault"))
+        LeafAction::Send(response(500, &format!("gingerkeel-request-id: {id}\r\n"), b"fault"))
     });
     let scene = scene(&[ALL], failing, ControlScript::default());
     for _ in 0..5 {
--- a/crates/broker/tests/routes.rs
+++ b/crates/broker/tests/routes.rs
@@ -13,18 +13,21 @@
 use rustix::process::Signal;
 use support::caller::Caller;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf, response};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
 use support::routed::{
-    RoutedBroker, configuration, directory, honest, news, records, rejection, reply, request,
+    RoutedBroker, configuration, directory, feed_messages, honest, records, rejection, reply,
+    request,
 };
-use support::{deaf_address, wait_until};
+use support::{closed_address, wait_until};
 
 /// A leaf that does this with its first request and answers the others.
-fn first(act: impl Fn(&support::leaf::LeafRequest) -> Act + Send + Sync + 'static) -> ScriptedLeaf {
+fn first(
+    act: impl Fn(&support::leaf::LeafRequest) -> LeafAction + Send + Sync + 'static,
+) -> ScriptedLeaf {
     let count = AtomicUsize::new(0);
     ScriptedLeaf::for_all(move |request| match count.fetch_add(1, Ordering::SeqCst) {
         0 => act(request),
-        _ => Act::Send(reply(request, "later", b"later")),
+        _ => LeafAction::Send(reply(request, "later", b"later")),
     })
 }
 
@@ -114,7 +117,8 @@
 #[case::of_another_request(Some(response(200, "gingerkeel-request-id: other\r\n", b"not ours")))]
 #[case::nameless(Some(response(200, "", b"not ours")))]
 fn a_repeatable_request_goes_to_another_leaf(#[case] bytes: Option<Vec<u8>>) {
-    let bad = ScriptedLeaf::for_all(move |_| Act::SendAndClose(bytes.clone().unwrap_or_default()));
+    let bad =
+        ScriptedLeaf::for_all(move |_| LeafAction::SendAndClose(bytes.clone().unwrap_or_default()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[bad.address, good.address], &[]);
     let answer = broker.get("/one/");
@@ -127,7 +131,7 @@
 #[case::no_answer(b"nonsense\r\n\r\n".to_vec(), 502)]
 #[case::failure(response(500, "gingerkeel-request-id: r1\r\n", b"its own"), 500)]
 fn one_that_is_not_repeatable_runs_at_most_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
-    let bad = ScriptedLeaf::for_all(move |_| Act::SendAndClose(bytes.clone()));
+    let bad = ScriptedLeaf::for_all(move |_| LeafAction::SendAndClose(bytes.clone()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[bad.address, good.address], &[]);
     assert_eq!(broker.get("/once/").status, status);
@@ -136,11 +140,11 @@
 
 #[test]
 fn one_that_certainly_has_not_run_may_go_to_another_leaf() {
-    let full = ScriptedLeaf::for_all(|_| Act::Send(rejection()));
+    let full = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[full.address, good.address], &[]);
     assert_eq!(broker.get("/once/").body, "good");
-    let broker = RoutedBroker::start(&[deaf_address(), good.address], &[]);
+    let broker = RoutedBroker::start(&[closed_address(), good.address], &[]);
     assert_eq!(broker.get("/once/").body, "good");
 }
 
@@ -150,8 +154,8 @@
 fn a_leaf_that_was_full_for_a_while_is_asked_again(#[case] path: &str) {
     let asked = AtomicUsize::new(0);
     let leaf = ScriptedLeaf::for_all(move |request| match asked.fetch_add(1, Ordering::SeqCst) {
-        0..3 => Act::Send(rejection()),
-        _ => Act::Send(reply(request, "s", b"x")),
+        0..3 => LeafAction::Send(rejection()),
+        _ => LeafAction::Send(reply(request, "s", b"x")),
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get(path).status, 200);
@@ -163,8 +167,8 @@
     let full_at_first = || {
         let asked = AtomicUsize::new(0);
         ScriptedLeaf::for_all(move |request| match asked.fetch_add(1, Ordering::SeqCst) {
-            0..3 => Act::Send(rejection()),
-            _ => Act::Send(reply(request, "later", &records(b"a"))),
+            0..3 => LeafAction::Send(rejection()),
+            _ => LeafAction::Send(reply(request, "later", &records(b"a"))),
         })
     };
     let leaves = [full_at_first(), full_at_first()];
@@ -182,7 +186,7 @@
 
 #[test]
 fn when_every_leaf_refuses_the_caller_is_told_that_nothing_ran_and_when_to_come_back() {
-    let full = ScriptedLeaf::for_all(|_| Act::Send(rejection()));
+    let full = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let broker = RoutedBroker::start(&[full.address], &[]);
     let answer = broker.get("/once/");
     assert_eq!(answer.status, 503);
@@ -194,7 +198,7 @@
 fn an_answer_to_another_request_is_passed_over() {
     let leaf = ScriptedLeaf::for_all(|request| {
         let stray = response(200, "gingerkeel-request-id: stray\r\n", b"of another");
-        Act::Send([stray, reply(request, "own", b"own")].concat())
+        LeafAction::Send([stray, reply(request, "own", b"own")].concat())
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get("/one/").body, "own");
@@ -203,7 +207,9 @@
 #[test]
 fn bytes_after_an_answer_belong_to_no_request() {
     let leaf = first(|request| {
-        Act::Send([reply(request, "own", b"own"), reply(request, "extra", b"extra")].concat())
+        LeafAction::Send(
+            [reply(request, "own", b"own"), reply(request, "extra", b"extra")].concat(),
+        )
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get("/one/").body, "own");
@@ -213,7 +219,7 @@
 #[test]
 fn a_reply_that_ends_with_its_connection_is_relayed_whole() {
     let leaf = ScriptedLeaf::for_all(|_| {
-        Act::SendAndClose(
+        LeafAction::SendAndClose(
             b"HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\n\r\nuntil the end".to_vec(),
         )
     });
@@ -226,7 +232,7 @@
     let leaf = ScriptedLeaf::for_all(|request| {
         let whole = reply(request, "s", b"12345");
         let head = if request.head.starts_with("HEAD") { whole.len() - 5 } else { whole.len() };
-        Act::Send(whole[..head].to_vec())
+        LeafAction::Send(whole[..head].to_vec())
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -245,7 +251,7 @@
 fn a_long_reply_that_is_cut_short_does_not_look_complete() {
     let leaf = ScriptedLeaf::for_all(|_| {
         let head = "HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\ncontent-length: 300000\r\n\r\n";
-        Act::SendAndClose([head.as_bytes(), &[b'x'; 200_000]].concat())
+        LeafAction::SendAndClose([head.as_bytes(), &[b'x'; 200_000]].concat())
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -255,7 +261,8 @@
 
 #[test]
 fn a_long_reply_is_relayed_whole() {
-    let leaf = ScriptedLeaf::for_all(|request| Act::Send(reply(request, "s", &[b'x'; 300_000])));
+    let leaf =
+        ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "s", &[b'x'; 300_000])));
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get("/one/").body.len(), 300_000);
 }
@@ -267,7 +274,7 @@
         let body = [records(part), records(b"c"), b"rest".to_vec()].concat();
         ScriptedLeaf::for_all(move |request| {
             let attestation = std::str::from_utf8(part).unwrap_or_default();
-            Act::Send(reply(request, attestation, &body))
+            LeafAction::Send(reply(request, attestation, &body))
         })
     });
     let shards: Vec<Vec<_>> = leaves.iter().map(|leaf| vec![leaf.address]).collect();
@@ -294,8 +301,8 @@
 #[case::full(Some(rejection()))]
 fn a_missing_part_is_counted_and_never_merged(#[case] bytes: Option<Vec<u8>>) {
     let bad = ScriptedLeaf::for_all(move |_| match &bytes {
-        Some(bytes) => Act::Send(bytes.clone()),
-        None => Act::KeepSilent,
+        Some(bytes) => LeafAction::Send(bytes.clone()),
+        None => LeafAction::NoReply,
     });
     let good = honest("good", b"0123456789abcdef");
     let broker = RoutedBroker::start(&[], &[&[good.address], &[bad.address]]);
@@ -309,14 +316,14 @@
 #[rstest]
 #[case::one_ran_it(Some(honest("good", b"0123456789abcdef")), 502)]
 #[case::one_failed(Some(failing(500)), 502)]
-#[case::one_rejected_it(Some(ScriptedLeaf::for_all(|_| Act::Send(rejection()))), 503)]
+#[case::one_rejected_it(Some(ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()))), 503)]
 #[case::none_was_reached(None, 503)]
 fn below_the_least_share_the_caller_is_told_whether_shards_ran_it(
     #[case] third: Option<ScriptedLeaf>,
     #[case] status: u16,
 ) {
-    let deaf = [deaf_address()];
-    let third = [third.as_ref().map_or_else(deaf_address, |leaf| leaf.address)];
+    let deaf = [closed_address()];
+    let third = [third.as_ref().map_or_else(closed_address, |leaf| leaf.address)];
     let broker = RoutedBroker::start(&[], &[&third, &deaf, &deaf]);
     let answer = broker.get("/all/");
     assert_eq!(answer.status, status);
@@ -326,7 +333,7 @@
 fn failing(status: u16) -> ScriptedLeaf {
     ScriptedLeaf::for_all(move |request| {
         let id = request.header("gingerkeel-request-id");
-        Act::Send(response(status, &format!("gingerkeel-request-id: {id}\r\n"), b""))
+        LeafAction::Send(response(status, &format!("gingerkeel-request-id: {id}\r\n"), b""))
     })
 }
 
@@ -334,7 +341,7 @@
 fn requests_beyond_the_connections_of_a_leaf_wait_for_one() {
     let leaf = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(20));
-        Act::Send(reply(request, "s", b"x"))
+        LeafAction::Send(reply(request, "s", b"x"))
     });
     let mut patient = configuration(0);
     patient.routes.iter_mut().for_each(|route| route.target_latency_ms = 60_000);
@@ -347,7 +354,7 @@
 
 #[test]
 fn a_silent_leaf_is_made_up_for_by_another_within_the_attempts() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[silent.address, good.address], &[]);
     assert_eq!(broker.get("/one/").body, "good");
@@ -356,7 +363,7 @@
 
 #[test]
 fn the_time_of_the_route_or_the_caller_ends_a_request() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
     caller.send(request("/once/", "300").as_bytes());
@@ -365,7 +372,7 @@
 
 #[test]
 fn when_the_caller_leaves_the_leaf_connection_is_closed() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
     caller.send(request("/once/", "3000").as_bytes());
@@ -402,8 +409,9 @@
     #[case] milliseconds: Range<u128>,
 ) {
     let leaf = honest("s", b"x");
-    let news = news(&configuration(0), &directory(&[leaf.address], &[]));
-    let script = ControlScript { news, news_with_lease: 2, ..ControlScript::default() };
+    let feed_messages = feed_messages(&configuration(0), &directory(&[leaf.address], &[]));
+    let script =
+        ControlScript { feed_messages, feed_messages_lease: 2, ..ControlScript::default() };
     let broker = RoutedBroker::start_on(script, setting);
     assert_eq!(broker.ready(), 503);
     let began = Instant::now();
@@ -418,7 +426,7 @@
 fn a_rush_beyond_what_the_leaf_works_on_at_once_is_served_one_after_the_other() {
     let leaf = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(20));
-        Act::Send(reply(request, "s", b"x"))
+        LeafAction::Send(reply(request, "s", b"x"))
     });
     let mut configuration = configuration(0);
     for service in &mut configuration.services {
@@ -437,9 +445,9 @@
 #[case::serve("out_of_touch = \"serve\"", 200)]
 fn what_is_done_out_of_touch_is_a_setting(#[case] setting: &str, #[case] status: u16) {
     let leaf = honest("s", b"x");
-    let news = news(&configuration(0), &directory(&[leaf.address], &[]));
+    let feed_messages = feed_messages(&configuration(0), &directory(&[leaf.address], &[]));
     let script = ControlScript {
-        news,
+        feed_messages,
         lease_milliseconds: 1_500,
         renews: false,
         ..ControlScript::default()
@@ -456,7 +464,7 @@
 fn a_planned_stop_finishes_what_is_in_flight_and_what_still_arrives() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(600));
-        Act::Send(reply(request, "s", b"whole"))
+        LeafAction::Send(reply(request, "s", b"whole"))
     });
     let mut broker = RoutedBroker::start(&[slow.address], &[]);
     let mut in_flight = broker.caller();
@@ -512,7 +520,7 @@
 ) {
     let leaf = ScriptedLeaf::for_all(move |request| {
         sleep(Duration::from_millis(leaf_ms));
-        Act::Send(reply(request, "s", b"whole"))
+        LeafAction::Send(reply(request, "s", b"whole"))
     });
     let mut broker = RoutedBroker::start(&[leaf.address], &[]);
     let routes = broker.routes;
--- a/crates/broker/tests/support/caller.rs
+++ b/crates/broker/tests/support/caller.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 
 /// A response as it was read.
 #[derive(Debug, Clone)]
@@ -106,7 +106,7 @@
     /// Connects, unless nobody listens.
     pub fn try_connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).expect("a valid time");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a valid time");
         Some(Self { stream, unread: Vec::new() })
     }
 
--- a/crates/broker/tests/support/control.rs
+++ b/crates/broker/tests/support/control.rs
@@ -43,13 +43,13 @@
     /// Changes of the catalog later, by the lease with which they come.
     pub later_changes: BTreeMap<u64, Vec<Change>>,
     /// What brokers are told besides.
-    pub news: Vec<FeedMessage>,
+    pub feed_messages: Vec<FeedMessage>,
     /// With which lease they are told, one a second; 0 for when they subscribe.
-    pub news_with_lease: u64,
+    pub feed_messages_lease: u64,
     /// Whether a link ends with the first report of what tenants used.
     pub closes_on_usage: bool,
     /// What brokers are told later, by the lease with which they are.
-    pub later_news: BTreeMap<u64, Vec<FeedMessage>>,
+    pub later_messages: BTreeMap<u64, Vec<FeedMessage>>,
     /// Whether a broker that asks for a trial gets it; none for no answer.
     pub grants_trials: Option<bool>,
 }
@@ -64,10 +64,10 @@
             evacuated: Vec::new(),
             changes: Vec::new(),
             later_changes: BTreeMap::new(),
-            news: Vec::new(),
-            news_with_lease: 0,
+            feed_messages: Vec::new(),
+            feed_messages_lease: 0,
             closes_on_usage: false,
-            later_news: BTreeMap::new(),
+            later_messages: BTreeMap::new(),
             grants_trials: None,
         }
     }
@@ -169,7 +169,7 @@
                 FeedMessage::FullCatalog { catalog: Document::from(bytes) },
                 FeedMessage::Threshold { service, lowest_admitted: script.lowest_admitted },
             ];
-            messages.extend(news_with(script, 0));
+            messages.extend(messages_with(script, 0));
             messages
         }
         SubscriberMessage::Renew { ticket, .. } => {
@@ -178,7 +178,7 @@
             if ticket > 1 && !script.renews {
                 return Vec::new();
             }
-            let mut messages = news_with(script, ticket);
+            let mut messages = messages_with(script, ticket);
             for change in script.later_changes.get(&ticket).into_iter().flatten() {
                 let revision = catalog.apply(change).expect("the change is valid").0;
                 let change = encode_document(change).expect("a change is a document").into();
@@ -192,12 +192,12 @@
     }
 }
 
-fn news_with(script: &ControlScript, lease: u64) -> Vec<FeedMessage> {
-    let mut news = script.later_news.get(&lease).cloned().unwrap_or_default();
-    if script.news_with_lease == lease {
-        news.extend(script.news.clone());
+fn messages_with(script: &ControlScript, lease: u64) -> Vec<FeedMessage> {
+    let mut feed_messages = script.later_messages.get(&lease).cloned().unwrap_or_default();
+    if script.feed_messages_lease == lease {
+        feed_messages.extend(script.feed_messages.clone());
     }
-    news
+    feed_messages
 }
 
 /// A catalog with service `tickets`, whose shard `s` is held by the leaves `shards[s]`. Its
--- a/crates/broker/tests/support/leaf.rs
+++ b/crates/broker/tests/support/leaf.rs
@@ -62,16 +62,16 @@
 }
 
 /// What a leaf does with a request.
-pub enum Act {
+pub enum LeafAction {
     /// Sends these bytes and keeps the connection.
     Send(Vec<u8>),
     /// Sends these bytes and closes the connection.
     SendAndClose(Vec<u8>),
     /// Never answers, but keeps the connection.
-    KeepSilent,
+    NoReply,
 }
 
-type Script = dyn Fn(&LeafRequest) -> Act + Send + Sync;
+type Script = dyn Fn(&LeafRequest) -> LeafAction + Send + Sync;
 
 /// A scripted leaf; its threads end with the test, or before it by [`ScriptedLeaf::end`].
 pub struct ScriptedLeaf {
@@ -84,11 +84,11 @@
 impl ScriptedLeaf {
     /// A leaf that answers every request correctly with `body`.
     pub fn honest(body: &'static str) -> Self {
-        Self::scripted(move |request| Act::Send(request.reply(body)))
+        Self::scripted(move |request| LeafAction::Send(request.reply(body)))
     }
 
     /// A leaf that reads each request whole and then follows the script.
-    pub fn scripted(script: impl Fn(&LeafRequest) -> Act + Send + Sync + 'static) -> Self {
+    pub fn scripted(script: impl Fn(&LeafRequest) -> LeafAction + Send + Sync + 'static) -> Self {
         let journal: Arc<Mutex<Vec<LeafRequest>>> = Arc::default();
         let script: Arc<Script> = Arc::new(script);
         let entries = journal.clone();
@@ -97,14 +97,14 @@
     }
 
     /// A leaf that follows the script for every request, whatever its method.
-    pub fn for_all(script: impl Fn(&LeafRequest) -> Act + Send + Sync + 'static) -> Self {
+    pub fn for_all(script: impl Fn(&LeafRequest) -> LeafAction + Send + Sync + 'static) -> Self {
         Self::for_all_at(free_port(), script)
     }
 
     /// The same at an address that a leaf had which has ended.
     pub fn for_all_at(
         address: SocketAddr,
-        script: impl Fn(&LeafRequest) -> Act + Send + Sync + 'static,
+        script: impl Fn(&LeafRequest) -> LeafAction + Send + Sync + 'static,
     ) -> Self {
         let journal: Arc<Mutex<Vec<LeafRequest>>> = Arc::default();
         let entries = journal.clone();
@@ -228,22 +228,22 @@
 fn serve(stream: TcpStream, journal: &Mutex<Vec<LeafRequest>>, script: &Script) {
     converse(stream, journal, &|request| match request.is_search() {
         true => script(request),
-        false => Act::Send(response(204, "", b"")),
+        false => LeafAction::Send(response(204, "", b"")),
     });
 }
 
 fn converse(
     mut stream: TcpStream,
     journal: &Mutex<Vec<LeafRequest>>,
-    script: &dyn Fn(&LeafRequest) -> Act,
+    script: &dyn Fn(&LeafRequest) -> LeafAction,
 ) {
     while let Some(request) = read_request(&mut stream) {
         journal.lock().expect("no thread panicked").push(request.clone());
         let act = script(&request);
         let (bytes, close) = match act {
-            Act::Send(bytes) => (bytes, false),
-            Act::SendAndClose(bytes) => (bytes, true),
-            Act::KeepSilent => (Vec::new(), false),
+            LeafAction::Send(bytes) => (bytes, false),
+            LeafAction::SendAndClose(bytes) => (bytes, true),
+            LeafAction::NoReply => (Vec::new(), false),
         };
         if stream.write_all(&bytes).is_err() {
             return;
--- a/crates/broker/tests/support/mod.rs
+++ b/crates/broker/tests/support/mod.rs
@@ -12,12 +12,12 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for anything; it is reached only when a test fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause between looks at a condition.
 const POLL: Duration = Duration::from_millis(10);
 
 /// An address of this machine that nothing listens on: a reserved port.
-pub fn deaf_address() -> SocketAddr {
+pub fn closed_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
@@ -25,7 +25,7 @@
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain until {what}");
         sleep(POLL);
     }
 }
--- a/crates/broker/tests/support/routed.rs
+++ b/crates/broker/tests/support/routed.rs
@@ -19,7 +19,7 @@
 use super::broker::Broker;
 use super::caller::{Caller, Response};
 use super::control::{ControlScript, ScriptedControl};
-use super::leaf::{Act, LeafRequest, ScriptedLeaf, response};
+use super::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
 use super::wait_until;
 
 /// Services of the configuration: `single` and the shards `s0`, `s1` and so on.
@@ -41,14 +41,14 @@
 
     /// Starts one with this configuration and list of leaves.
     pub fn start_with(configuration: &RouteConfiguration, directory: &LeafDirectory) -> Self {
-        let news = news(configuration, directory);
-        Self::start_on(ControlScript { news, ..ControlScript::default() }, "")
+        let feed_messages = feed_messages(configuration, directory);
+        Self::start_on(ControlScript { feed_messages, ..ControlScript::default() }, "")
     }
 
     /// Starts one whose control process follows a script.
     pub fn start_on(script: ControlScript, further_settings: &str) -> Self {
-        let ready = !script.news.is_empty() && script.news_with_lease == 0;
-        let mut catalog = super::control::catalog(&[&[super::deaf_address()]]);
+        let ready = !script.feed_messages.is_empty() && script.feed_messages_lease == 0;
+        let mut catalog = super::control::catalog(&[&[super::closed_address()]]);
         for zone in &script.evacuated {
             let change = Change::EvacuateZone(ZoneName::new(zone));
             catalog.apply(&change).expect("a zone");
@@ -98,7 +98,10 @@
 }
 
 /// What a control process tells of these.
-pub fn news(configuration: &RouteConfiguration, directory: &LeafDirectory) -> Vec<FeedMessage> {
+pub fn feed_messages(
+    configuration: &RouteConfiguration,
+    directory: &LeafDirectory,
+) -> Vec<FeedMessage> {
     vec![
         FeedMessage::Brokers { delta: only_broker() },
         FeedMessage::Routes { configuration: document(configuration) },
@@ -132,7 +135,7 @@
 
 /// A leaf that answers every request with `body` under its own attestation.
 pub fn honest(attestation: &'static str, body: &'static [u8]) -> ScriptedLeaf {
-    ScriptedLeaf::for_all(move |request| Act::Send(reply(request, attestation, body)))
+    ScriptedLeaf::for_all(move |request| LeafAction::Send(reply(request, attestation, body)))
 }
 
 /// A leaf's word that it did not run the request.
--- a/crates/broker/tests/tenants.rs
+++ b/crates/broker/tests/tenants.rs
@@ -13,8 +13,8 @@
 use gingerkeel_protocol::{Document, FeedMessage, pack_document};
 use rstest::rstest;
 use support::control::ControlScript;
-use support::leaf::{Act, LeafRequest, ScriptedLeaf, response};
-use support::routed::{RoutedBroker, configuration, directory, honest, news, reply};
+use support::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
+use support::routed::{RoutedBroker, configuration, directory, feed_messages, honest, reply};
 use support::wait_until;
 
 /// A key of the tenant `kiosk`.
@@ -179,8 +179,9 @@
 
 #[test]
 fn retries_name_the_tenant() {
-    let failing =
-        ScriptedLeaf::for_all(|_| Act::Send(response(500, "gingerkeel-request-id: r1\r\n", b"")));
+    let failing = ScriptedLeaf::for_all(|_| {
+        LeafAction::Send(response(500, "gingerkeel-request-id: r1\r\n", b""))
+    });
     let good = honest("good", b"good");
     let list = directory(&[failing.address, good.address], &[]);
     let broker = RoutedBroker::start_with(&with_tenants(0, false), &list);
@@ -193,7 +194,7 @@
 
 #[test]
 fn parts_and_hedges_name_the_tenant() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let (good, second) = (honest("s0", &[1; 16]), honest("s1", &[2; 16]));
     let list = directory(&[], &[&[silent.address, good.address], &[second.address]]);
     let broker = RoutedBroker::start_with(&with_tenants(2, false), &list);
@@ -220,15 +221,19 @@
             // Longer than until the key is revoked.
             std::thread::sleep(Duration::from_millis(2_500));
         }
-        Act::Send(reply(request, "stamp", b"body"))
+        LeafAction::Send(reply(request, "stamp", b"body"))
     });
     let first = with_tenants(0, false);
     let mut second = first.clone();
     second.version = RouteVersion(2);
     second.tenants = vec![tenant("depot", &["k-depot", "k-new"])];
     let list = directory(&[leaf.address], &[]);
-    let later_news = BTreeMap::from([(2, vec![told(&second)])]);
-    let script = ControlScript { news: news(&first, &list), later_news, ..Default::default() };
+    let later_messages = BTreeMap::from([(2, vec![told(&second)])]);
+    let script = ControlScript {
+        feed_messages: feed_messages(&first, &list),
+        later_messages,
+        ..Default::default()
+    };
     let broker = RoutedBroker::start_on(script, "");
     let mut under_way = broker.caller();
     under_way.send(request("GET /one/", &authorization(KEY)).as_bytes());
@@ -262,8 +267,9 @@
     #[case] tenant_region: &str,
     #[case] route_region: Option<&str>,
 ) {
-    let failing =
-        ScriptedLeaf::for_all(|_| Act::Send(response(500, "gingerkeel-request-id: r1\r\n", b"")));
+    let failing = ScriptedLeaf::for_all(|_| {
+        LeafAction::Send(response(500, "gingerkeel-request-id: r1\r\n", b""))
+    });
     // Its zone is in no region that the settings name.
     let elsewhere = honest("elsewhere", b"elsewhere");
     let list = directory(&[failing.address, elsewhere.address], &[]);
@@ -282,7 +288,7 @@
 
 #[test]
 fn hedges_stay_in_the_regions_of_the_tenant() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let elsewhere = honest("elsewhere", b"elsewhere");
     let mut routes = bound_to("south", None);
     routes.routes[0].timeout_ms = 900;
@@ -318,7 +324,7 @@
     let leaf = honest("stamp", b"body");
     let settings = "metrics = \"127.0.0.1:0\"\nlog_sample = 1\n";
     let script = ControlScript {
-        news: news(&with_tenants(0, false), &directory(&[leaf.address], &[])),
+        feed_messages: feed_messages(&with_tenants(0, false), &directory(&[leaf.address], &[])),
         ..ControlScript::default()
     };
     let broker = RoutedBroker::start_on(script, settings);
