--- a/crates/broker/tests/support/broker.rs
+++ b/crates/broker/tests/support/broker.rs
@@ -1,4 +1,4 @@
-//! A broker process.
+//! Starts and controls a broker process.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,33 +18,33 @@
 
 /// A broker process; killed when dropped.
 pub struct Broker {
-    /// Where callers connect.
+    /// Address of the caller listener.
     pub listen: SocketAddr,
-    /// Where metrics are read.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
-    /// The control process that feeds it.
+    /// The scripted control process that the broker follows.
     pub control: ScriptedControl,
     child: Child,
     folder: TempDir,
 }
 
 impl Broker {
-    /// Starts a broker with a catalog in force.
+    /// Starts a broker and waits until the catalog is in force.
     pub fn start(catalog: &Catalog) -> Self {
         Self::start_with(catalog, "")
     }
 
-    /// Starts a broker with further settings.
+    /// Starts a broker with additional settings.
     pub fn start_with(catalog: &Catalog, settings: &str) -> Self {
         Self::start_on(ScriptedControl::serve(catalog), settings)
     }
 
-    /// Starts a broker of this control process.
+    /// Starts a broker that follows this control process.
     pub fn start_on(control: ScriptedControl, settings: &str) -> Self {
         Self::start_among(&[], control, settings)
     }
 
-    /// Starts a broker whose settings name others before the control process.
+    /// Starts a broker whose settings list other control processes before this one.
     pub fn start_among(others: &[SocketAddr], control: ScriptedControl, settings: &str) -> Self {
         let controls = others.iter().chain([&control.address]);
         let controls: Vec<String> = controls.map(|feed| format!("\"{feed}\"")).collect();
@@ -65,8 +65,8 @@
             .stderr(log)
             .spawn()
             .expect("the broker starts");
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut broker = Self { listen: nowhere, metrics: nowhere, control, child, folder };
+        let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
+        let mut broker = Self { listen: unknown, metrics: unknown, control, child, folder };
         wait_until("the broker has said where it listens", || {
             let log = broker.log();
             let started = log.lines().find(|line| line.contains("event=started"));
@@ -81,7 +81,7 @@
         broker
     }
 
-    /// Number of the process.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -91,19 +91,19 @@
         Caller::connect(self.listen)
     }
 
-    /// What was logged so far.
+    /// The log so far.
     pub fn log(&self) -> String {
         fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    /// Writes the settings file anew, without a signal.
+    /// Rewrites the settings file without sending a signal.
     pub fn change_settings(&self, change: impl FnOnce(String) -> String) {
         let path = self.folder.path().join(SETTINGS);
         let text = fs::read_to_string(&path).expect("the settings are read");
         fs::write(&path, change(text)).expect("the settings are written");
     }
 
-    /// The metrics as text.
+    /// The metrics in the text format.
     pub fn metrics(&self) -> String {
         let mut caller = Caller::connect(self.metrics);
         caller.send(b"GET /metrics HTTP/1.1\r\nhost: broker\r\n\r\n");
@@ -118,12 +118,12 @@
         kill_process(id.expect("a process number"), signal).expect("the process runs");
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().expect("the process can be watched").is_some()
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until("the broker has ended", || {
@@ -133,7 +133,7 @@
         status.expect("the process has ended")
     }
 
-    /// Fails unless the process ends by itself with exit code 0.
+    /// Asserts that the process exits by itself with code 0.
     pub fn assert_ends_well(&mut self) {
         let status = self.wait();
         assert_eq!(status.signal(), None, "{}", self.log());
@@ -141,7 +141,7 @@
     }
 }
 
-/// The address under a key of a log line.
+/// The address in a field of a log line.
 fn address_in(line: &str, key: &str) -> SocketAddr {
     let prefix = format!("{key}=");
     let value = line.split(' ').find_map(|pair| pair.strip_prefix(prefix.as_str()));
@@ -150,7 +150,7 @@
 
 impl Drop for Broker {
     fn drop(&mut self) {
-        // Fails only when the process has ended before.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
