--- a/crates/broker/tests/support/caller.rs
+++ b/crates/broker/tests/support/caller.rs
@@ -7,7 +7,7 @@
 
 use super::WAIT_TIMEOUT;
 
-/// A response as it was read.
+/// A received response.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// Status code.
@@ -30,28 +30,28 @@
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("not JSON: {}", self.body))
     }
 
-    /// The outcome that the body names.
+    /// The field `outcome` of the body.
     pub fn outcome(&self) -> String {
         self.json()["outcome"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The reason that the body names.
+    /// The field `reason` of the body.
     pub fn reason(&self) -> String {
         self.json()["reason"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Whether the broker says that it closes the connection.
+    /// Whether the response has `Connection: close`.
     pub fn closes(&self) -> bool {
         self.header("connection") == Some("close")
     }
 }
 
-/// A query to be sent.
+/// A query to send.
 #[derive(Debug, Clone)]
 pub struct Query {
-    /// Service in the path.
+    /// Service name in the path.
     pub service: String,
-    /// Headers; an empty value leaves one out.
+    /// Headers; one with an empty value is not sent.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Vec<u8>,
@@ -68,19 +68,19 @@
         Self { service: "tickets".into(), headers, body: b"find".to_vec() }
     }
 
-    /// The query with another value of a header.
+    /// Sets or replaces a header.
     pub fn with(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(key, _)| *key != name);
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    /// The query marked as not repeatable.
+    /// Marks the query as not repeatable.
     pub fn once(self) -> Self {
         self.with("x-repeatable", "false")
     }
 
-    /// The query as bytes.
+    /// Encodes the query.
     pub fn bytes(&self) -> Vec<u8> {
         let mut head = format!("POST /v1/services/{}/query HTTP/1.1\r\nhost: x\r\n", self.service);
         for (name, value) in self.headers.iter().filter(|(_, value)| !value.is_empty()) {
@@ -98,19 +98,19 @@
 }
 
 impl Caller {
-    /// Connects.
+    /// Connects; panics if nothing listens.
     pub fn connect(address: SocketAddr) -> Self {
         Self::try_connect(address).expect("the broker listens")
     }
 
-    /// Connects, unless nobody listens.
+    /// Connects; none if nothing listens.
     pub fn try_connect(address: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(address).ok()?;
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a valid time");
         Some(Self { stream, unread: Vec::new() })
     }
 
-    /// Sends bytes; a broker that has closed the connection before is no failure here.
+    /// Sends bytes; ignores a connection that the broker has closed.
     pub fn send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
@@ -121,7 +121,7 @@
         self.receive().expect("an answer")
     }
 
-    /// Reads the next response; none when the connection was closed before it was whole.
+    /// Reads the next response; none if the connection closed before its end.
     pub fn receive(&mut self) -> Option<Response> {
         let head_end = loop {
             if let Some(end) = self.unread.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -142,7 +142,7 @@
         Some(response)
     }
 
-    /// Reads until so many heads have come and the last byte is no line end; all of it as text.
+    /// Reads until this many heads have arrived and the last byte is not a line end; returns all text.
     pub fn receive_text(&mut self, heads: usize) -> String {
         loop {
             let text = String::from_utf8_lossy(&self.unread).into_owned();
@@ -153,14 +153,14 @@
         }
     }
 
-    /// Whether the broker closes the connection without another byte.
+    /// Whether the broker closes the connection without sending another byte.
     pub fn is_closed(&mut self) -> bool {
         self.unread.is_empty() && self.read_some().is_none()
     }
 
-    /// Hangs up.
+    /// Closes the connection.
     pub fn hang_up(self) {
-        // The broker may have closed the connection before.
+        // Fails if the broker has closed the connection.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
@@ -173,7 +173,7 @@
                 Some(())
             }
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
-                panic!("waited in vain for the broker")
+                panic!("timed out waiting for the broker")
             }
             Err(_) => None,
         }
@@ -191,7 +191,7 @@
     (status, headers)
 }
 
-/// Has a key issued; none when the broker does not know the caller yet.
+/// Requests a request key; none if the broker does not know the caller yet.
 pub fn issue_key(mut caller: Caller) -> Option<String> {
     caller.send(
         b"POST /v1/request-keys HTTP/1.1\r\nhost: x\r\nx-caller: desk\r\ncontent-length: 0\r\n\r\n",
