--- a/crates/broker/tests/support/control.rs
+++ b/crates/broker/tests/support/control.rs
@@ -1,4 +1,4 @@
-//! A scripted control process that serves one catalog, and the catalogs that tests use.
+//! A scripted control process that serves a catalog, and the catalogs of the tests.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -22,35 +22,36 @@
 };
 use monoio_codec::{Decoded, Decoder};
 
-/// How long a granted lease lasts: longer than any test.
+/// Default lease duration, longer than any test.
 const LEASE_MILLISECONDS: u32 = 600_000;
 
-/// What a scripted control process does besides serving a catalog and leases.
+/// Behaviour of a scripted control process, beyond serving a catalog and leases.
 #[derive(Debug, Clone)]
 pub struct ControlScript {
-    /// Whether it records charges.
+    /// Whether reports of charges are acknowledged.
     pub receipts: bool,
-    /// Lowest class that brokers are told to admit.
+    /// Priority of the lowest class that brokers admit.
     pub lowest_admitted: u8,
-    /// How long a granted lease lasts.
+    /// Lease duration.
     pub lease_milliseconds: u32,
-    /// Whether leases are granted after the first one.
+    /// Whether leases are renewed after the first one.
     pub renews: bool,
-    /// Zones that the catalog names as evacuated.
+    /// Evacuated zones of the catalog.
     pub evacuated: Vec<&'static str>,
-    /// Changes of the catalog from the beginning.
+    /// Changes applied to the catalog before the start.
     pub changes: Vec<Change>,
-    /// Changes of the catalog later, by the lease with which they come.
+    /// Changes sent later, by the number of the lease that they precede.
     pub later_changes: BTreeMap<u64, Vec<Change>>,
-    /// What brokers are told besides.
+    /// Further messages to brokers.
     pub feed_messages: Vec<FeedMessage>,
-    /// With which lease they are told, one a second; 0 for when they subscribe.
+    /// Number of the lease that `feed_messages` precede, at one lease a second; 0 sends them on
+    /// subscription.
     pub feed_messages_lease: u64,
-    /// Whether a link ends with the first report of what tenants used.
+    /// Whether a link is closed on the first usage report.
     pub closes_on_usage: bool,
-    /// What brokers are told later, by the lease with which they are.
+    /// Messages sent later, by the number of the lease that they precede.
     pub later_messages: BTreeMap<u64, Vec<FeedMessage>>,
-    /// Whether a broker that asks for a trial gets it; none for no answer.
+    /// Answer to a request for a trial; none sends no answer.
     pub grants_trials: Option<bool>,
 }
 
@@ -75,18 +76,18 @@
 
 /// A scripted control process; its threads end with the test.
 pub struct ScriptedControl {
-    /// Where it feeds brokers.
+    /// Address of the feed.
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<SubscriberMessage>>>,
 }
 
 impl ScriptedControl {
-    /// Serves a catalog, and leases on it, to every broker that subscribes, and records charges.
+    /// Serves a catalog and leases to every broker that subscribes, and acknowledges charges.
     pub fn serve(catalog: &Catalog) -> Self {
         Self::serve_with(catalog, ControlScript::default())
     }
 
-    /// Serves a catalog, and leases on it, and follows a script otherwise.
+    /// Serves a catalog and leases, and otherwise follows a script.
     pub fn serve_with(catalog: &Catalog, script: ControlScript) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a bound address");
@@ -103,7 +104,7 @@
         Self { address, received }
     }
 
-    /// Totals of charges of the run that reported first, as reported so far.
+    /// Totals of charges reported so far.
     pub fn charges(&self) -> ChargeTotals {
         let mut totals = ChargeTotals::new();
         for message in self.received() {
@@ -116,13 +117,13 @@
         totals
     }
 
-    /// What brokers sent so far.
+    /// Messages received from brokers so far.
     pub fn received(&self) -> Vec<SubscriberMessage> {
         self.received.lock().expect("no thread panicked").clone()
     }
 }
 
-/// Answers what the broker asks for until it closes the connection.
+/// Answers a broker's messages until the broker closes the connection.
 fn feed(
     mut stream: TcpStream,
     catalog: &Catalog,
@@ -200,8 +201,8 @@
     feed_messages
 }
 
-/// A catalog with service `tickets`, whose shard `s` is held by the leaves `shards[s]`. Its
-/// classes are `urgent`, which answers partly after 300 ms, and `whole`, which waits for all.
+/// A catalog with service `tickets`; the leaves `shards[s]` hold shard `s`. Its classes are
+/// `urgent`, which answers partially after 300 ms, and `whole`, which waits for all shards.
 pub fn catalog(shards: &[&[SocketAddr]]) -> Catalog {
     let mut catalog = Catalog::default();
     let service = ServiceName::new("tickets");
@@ -230,7 +231,7 @@
     catalog
 }
 
-/// Applies a change that is valid.
+/// Applies a valid change.
 pub fn apply(catalog: &mut Catalog, change: Change) {
     catalog.apply(&change).expect("the change is valid");
 }
