--- a/crates/broker/tests/support/leaf.rs
+++ b/crates/broker/tests/support/leaf.rs
@@ -1,4 +1,4 @@
-//! A leaf that replies as a test scripts it, byte for byte.
+//! A scripted leaf, whose replies a test gives byte for byte.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,17 +11,17 @@
 
 use super::wait_until;
 
-/// A request as it reached a leaf.
+/// A request received by a leaf.
 #[derive(Debug, Clone)]
 pub struct LeafRequest {
     /// Start line and headers.
     pub head: String,
-    /// Body, as far as it was read.
+    /// Body, as far as read.
     pub body: Vec<u8>,
 }
 
 impl LeafRequest {
-    /// The value of a header, empty when it is missing.
+    /// The value of a header; empty if missing.
     pub fn header(&self, name: &str) -> &str {
         let value = |line: &&str| {
             line.split_once(": ").is_some_and(|(key, _)| key.eq_ignore_ascii_case(name))
@@ -33,12 +33,12 @@
             .map_or("", |pair| pair.1)
     }
 
-    /// Whether it asks to run something, and not to cancel it.
+    /// Whether the request is a search and not a cancellation or probe.
     pub fn is_search(&self) -> bool {
         self.head.starts_with("POST ")
     }
 
-    /// Headers of a correct reply, each with its line end.
+    /// Headers of a correct reply, each with a line end.
     pub fn reply_headers(&self) -> String {
         format!(
             "x-request-id: {}\r\nx-index-version: {}\r\nx-partition-epoch: {}\r\n",
@@ -54,40 +54,40 @@
     }
 }
 
-/// An HTTP response.
+/// Encodes an HTTP response.
 pub fn response(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} X\r\n{headers}content-length: {length}\r\n\r\n");
     [head.as_bytes(), body].concat()
 }
 
-/// What a leaf does with a request.
+/// Action of a leaf on a request.
 pub enum LeafAction {
-    /// Sends these bytes and keeps the connection.
+    /// Send these bytes and keep the connection open.
     Send(Vec<u8>),
-    /// Sends these bytes and closes the connection.
+    /// Send these bytes and close the connection.
     SendAndClose(Vec<u8>),
-    /// Never answers, but keeps the connection.
+    /// Send no reply and keep the connection open.
     NoReply,
 }
 
 type Script = dyn Fn(&LeafRequest) -> LeafAction + Send + Sync;
 
-/// A scripted leaf; its threads end with the test, or before it by [`ScriptedLeaf::end`].
+/// A scripted leaf; its threads end with the test or on [`ScriptedLeaf::end`].
 pub struct ScriptedLeaf {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     journal: Arc<Mutex<Vec<LeafRequest>>>,
     listening: Listening,
 }
 
 impl ScriptedLeaf {
-    /// A leaf that answers every request correctly with `body`.
+    /// A leaf that answers every search correctly with `body`.
     pub fn honest(body: &'static str) -> Self {
         Self::scripted(move |request| LeafAction::Send(request.reply(body)))
     }
 
-    /// A leaf that reads each request whole and then follows the script.
+    /// A leaf that follows the script for searches and confirms all other requests with 204.
     pub fn scripted(script: impl Fn(&LeafRequest) -> LeafAction + Send + Sync + 'static) -> Self {
         let journal: Arc<Mutex<Vec<LeafRequest>>> = Arc::default();
         let script: Arc<Script> = Arc::new(script);
@@ -96,33 +96,33 @@
         Self { address: listening.address, journal, listening }
     }
 
-    /// A leaf that follows the script for every request, whatever its method.
+    /// A leaf that follows the script for requests of any method.
     pub fn for_all(script: impl Fn(&LeafRequest) -> LeafAction + Send + Sync + 'static) -> Self {
         Self::for_all_at(free_port(), script)
     }
 
-    /// The same at an address that a leaf had which has ended.
+    /// Like [`Self::for_all`], at the address of a leaf that has ended.
     pub fn for_all_at(
         address: SocketAddr,
         script: impl Fn(&LeafRequest) -> LeafAction + Send + Sync + 'static,
     ) -> Self {
         let journal: Arc<Mutex<Vec<LeafRequest>>> = Arc::default();
         let entries = journal.clone();
-        let listening = listen(address, move |stream| converse(stream, &entries, &script));
+        let listening = listen(address, move |stream| serve_requests(stream, &entries, &script));
         Self { address: listening.address, journal, listening }
     }
 
-    /// The leaf ends: its connections close, and its address takes no new ones.
+    /// Ends the leaf: closes its connections and its listener.
     pub fn end(&self) {
         self.listening.end();
     }
 
-    /// All requests, in the order of arrival.
+    /// All requests received, in order.
     pub fn requests(&self) -> Vec<LeafRequest> {
         self.journal.lock().expect("no thread panicked").clone()
     }
 
-    /// A leaf that reads `limit` bytes of each connection and resets it.
+    /// A leaf that reads `limit` bytes of each connection and then resets it.
     pub fn resetting_after(limit: usize) -> Self {
         let journal: Arc<Mutex<Vec<LeafRequest>>> = Arc::default();
         let entries = journal.clone();
@@ -132,24 +132,24 @@
                 let request = LeafRequest { head: "POST ".into(), body };
                 entries.lock().expect("no thread panicked").push(request);
             }
-            // Closes with a reset although more bytes are on their way.
+            // A linger time of zero closes the connection with a reset.
             let _ = set_socket_linger(&stream, Some(std::time::Duration::ZERO));
         });
         Self { address: listening.address, journal, listening }
     }
 
-    /// Requests to run something, in the order of arrival.
+    /// Searches received, in order.
     pub fn searches(&self) -> Vec<LeafRequest> {
         let journal = self.journal.lock().expect("no thread panicked");
         journal.iter().filter(|request| request.is_search()).cloned().collect()
     }
 
-    /// Waits until so many requests to run something have arrived.
+    /// Waits until at least `count` searches have arrived.
     pub fn wait_for_searches(&self, count: usize) {
         wait_until("the leaf has its requests", || self.searches().len() >= count);
     }
 
-    /// Waits until a request was cancelled.
+    /// Waits until a cancellation has arrived.
     pub fn wait_for_cancellation(&self) {
         wait_until("the leaf is told to cancel", || {
             let journal = self.journal.lock().expect("no thread panicked");
@@ -158,14 +158,15 @@
     }
 }
 
-/// A listener and the connections that it took.
+/// A listener and its accepted connections.
 struct Listening {
     address: SocketAddr,
     ended: Arc<AtomicBool>,
     open: Arc<Mutex<OpenConnections>>,
 }
 
-/// Second handles of connections that are being served: one that is left over would hold its connection open.
+/// Duplicated handles of the connections being served. Each is removed when its connection ends,
+/// since a remaining handle keeps the connection open.
 #[derive(Default)]
 struct OpenConnections {
     next: u64,
@@ -187,11 +188,11 @@
 impl Listening {
     fn end(&self) {
         self.ended.store(true, Ordering::SeqCst);
-        // Wakes the thread that accepts, which closes the listener.
+        // Wakes the accepting thread, which then closes the listener.
         let _ = TcpStream::connect(self.address);
         wait_until("nobody listens", || TcpStream::connect(self.address).is_err());
         for stream in self.open.lock().expect("no thread panicked").streams.values() {
-            // It may be closed already.
+            // Fails if the connection is already closed.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -215,8 +216,8 @@
             }
             let (serve, open) = (serve.clone(), open.clone());
             thread::spawn(move || {
-                let kept = stream.try_clone().expect("a second handle");
-                let number = open.lock().expect("no thread panicked").add(kept);
+                let duplicate = stream.try_clone().expect("a second handle");
+                let number = open.lock().expect("no thread panicked").add(duplicate);
                 serve(stream);
                 open.lock().expect("no thread panicked").remove(number);
             });
@@ -226,21 +227,21 @@
 }
 
 fn serve(stream: TcpStream, journal: &Mutex<Vec<LeafRequest>>, script: &Script) {
-    converse(stream, journal, &|request| match request.is_search() {
+    serve_requests(stream, journal, &|request| match request.is_search() {
         true => script(request),
         false => LeafAction::Send(response(204, "", b"")),
     });
 }
 
-fn converse(
+fn serve_requests(
     mut stream: TcpStream,
     journal: &Mutex<Vec<LeafRequest>>,
     script: &dyn Fn(&LeafRequest) -> LeafAction,
 ) {
     while let Some(request) = read_request(&mut stream) {
         journal.lock().expect("no thread panicked").push(request.clone());
-        let act = script(&request);
-        let (bytes, close) = match act {
+        let action = script(&request);
+        let (bytes, close) = match action {
             LeafAction::Send(bytes) => (bytes, false),
             LeafAction::SendAndClose(bytes) => (bytes, true),
             LeafAction::NoReply => (Vec::new(), false),
@@ -249,7 +250,7 @@
             return;
         }
         if close {
-            // The broker may have closed the connection before.
+            // Fails if the broker has closed the connection.
             let _ = stream.shutdown(Shutdown::Both);
             return;
         }
