--- a/crates/broker/tests/support/routed.rs
+++ b/crates/broker/tests/support/routed.rs
@@ -1,11 +1,11 @@
-//! A broker that serves routes, between a scripted control process and scripted leaves.
+//! A broker process that serves routes, with a scripted control process and scripted leaves.
 
-use gingerkeel_domain::forwarding::ColdStart;
 use std::net::SocketAddr;
 
 use gingerkeel_domain::catalog::{Change, Placement};
 use gingerkeel_domain::directory::{LeafAvailability, LeafDirectory, ListedLeaf};
 use gingerkeel_domain::feed::{BrokerList, KnownBroker};
+use gingerkeel_domain::forwarding::ColdStart;
 use gingerkeel_domain::identifiers::{
     BrokerName, LeafIdentity, RegionName, ServiceName, SoftwareVersion, ZoneName,
 };
@@ -22,11 +22,11 @@
 use super::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
 use super::wait_until;
 
-/// Services of the configuration: `single` and the shards `s0`, `s1` and so on.
+/// Name of the unsharded service; those of the shards are `s0`, `s1` and so on.
 pub const SINGLE: &str = "single";
 
-/// A broker that serves routes of host `h`: `/one/` and `/once/` to service `single`, the second
-/// not repeatable; `/all/` to the shards.
+/// A broker that serves routes of host `h`: `/one/` and the non-repeatable `/once/` to service
+/// `single`, and `/all/` to the shards.
 pub struct RoutedBroker {
     pub broker: Broker,
     pub routes: SocketAddr,
@@ -34,18 +34,18 @@
 }
 
 impl RoutedBroker {
-    /// Starts one over leaves of `single` and leaves of each shard.
+    /// Starts a broker with these leaves of `single` and of each shard.
     pub fn start(single: &[SocketAddr], shards: &[&[SocketAddr]]) -> Self {
         Self::start_with(&configuration(shards.len()), &directory(single, shards))
     }
 
-    /// Starts one with this configuration and list of leaves.
+    /// Starts a broker with this configuration and leaf directory.
     pub fn start_with(configuration: &RouteConfiguration, directory: &LeafDirectory) -> Self {
         let feed_messages = feed_messages(configuration, directory);
         Self::start_on(ControlScript { feed_messages, ..ControlScript::default() }, "")
     }
 
-    /// Starts one whose control process follows a script.
+    /// Starts a broker whose control process follows a script.
     pub fn start_on(script: ControlScript, further_settings: &str) -> Self {
         let ready = !script.feed_messages.is_empty() && script.feed_messages_lease == 0;
         let mut catalog = super::control::catalog(&[&[super::closed_address()]]);
@@ -77,7 +77,7 @@
         routed
     }
 
-    /// What the broker says of its readiness.
+    /// Status of the readiness check; 0 without a response.
     pub fn ready(&self) -> u16 {
         let mut caller = Caller::connect(self.readiness);
         caller.send(b"GET /ready HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -89,7 +89,7 @@
         Caller::connect(self.routes)
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection.
     pub fn get(&self, path: &str) -> Response {
         let mut caller = self.caller();
         caller.send(request(path, "5000").as_bytes());
@@ -97,7 +97,7 @@
     }
 }
 
-/// What a control process tells of these.
+/// Feed messages with the list of brokers, this configuration and this leaf directory.
 pub fn feed_messages(
     configuration: &RouteConfiguration,
     directory: &LeafDirectory,
@@ -109,7 +109,7 @@
     ]
 }
 
-/// A list of one broker, as a document.
+/// Document with a list of one broker.
 fn only_broker() -> gingerkeel_protocol::Document {
     let placement = Placement { region: RegionName::new("south"), zone: ZoneName::new("a") };
     let entry = BrokerEntry { name: BrokerName::new("broker"), placement };
@@ -117,7 +117,7 @@
     document(&list.whole())
 }
 
-/// A request to host `h`.
+/// Encodes a request to host `h`.
 pub fn request(path: &str, deadline: &str) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nHost: h\r\ngingerkeel-request-id: r1\r\n\
@@ -125,7 +125,7 @@
     )
 }
 
-/// A leaf's correct reply.
+/// Encodes a correct reply of a leaf.
 pub fn reply(request: &LeafRequest, attestation: &str, body: &[u8]) -> Vec<u8> {
     let id = request.header("gingerkeel-request-id");
     let headers =
@@ -133,12 +133,12 @@
     response(200, &headers, body)
 }
 
-/// A leaf that answers every request with `body` under its own attestation.
+/// A leaf that answers every request with `body` and its attestation.
 pub fn honest(attestation: &'static str, body: &'static [u8]) -> ScriptedLeaf {
     ScriptedLeaf::for_all(move |request| LeafAction::Send(reply(request, attestation, body)))
 }
 
-/// A leaf's word that it did not run the request.
+/// Reply of a leaf that did not run the request.
 pub fn rejection() -> Vec<u8> {
     response(503, "gingerkeel-not-executed: 1\r\n", b"full")
 }
@@ -163,7 +163,7 @@
     }
 }
 
-/// The configuration over `shards` shards, of which half are enough.
+/// A configuration with `shards` shards; answers need at least half of them.
 pub fn configuration(shards: usize) -> RouteConfiguration {
     let names: Vec<ServiceName> = (0..shards).map(shard).collect();
     let mut routes = vec![
@@ -197,7 +197,7 @@
     ServiceName::new(format!("s{number}"))
 }
 
-/// A list of these leaves.
+/// A directory of these leaves; the first of each service is in zone `a`, the others in `b`.
 pub fn directory(single: &[SocketAddr], shards: &[&[SocketAddr]]) -> LeafDirectory {
     let mut leaves = Vec::new();
     let mut add = |service: ServiceName, addresses: &[SocketAddr]| {
@@ -222,7 +222,7 @@
     directory
 }
 
-/// Records of these bytes, sixteen of each.
+/// Records that repeat each of these bytes sixteen times.
 pub fn records(records: &[u8]) -> Vec<u8> {
     records.iter().flat_map(|byte| [*byte; 16]).collect()
 }
