--- a/crates/broker/benches/gather_cost.rs
+++ b/crates/broker/benches/gather_cost.rs
@@ -1,7 +1,8 @@
-//! Processor time that a broker takes for each part of an answer that it gathers.
+//! CPU time of a broker per part of a gathered answer.
 //!
-//! `cargo bench -p gingerkeel-broker --bench gather_cost`; prints one JSON document. The leaves are
-//! scripted ones of this process; the broker is a process of its own, so that only its time counts.
+//! Run with `cargo bench -p gingerkeel-broker --bench gather_cost`; prints a JSON document. The
+//! scripted leaves run in this process and the broker in a separate one, so that only the broker's
+//! CPU time is counted.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,17 +15,17 @@
 use support::leaf::{LeafAction, ScriptedLeaf};
 use support::routed::{RoutedBroker, reply, request};
 
-/// Shards of the measured route.
+/// Number of shards of the measured route.
 const SHARDS: usize = 90;
-/// Requests before the measurement, which open connections and fill windows of latencies.
+/// Number of warm-up requests, which open connections and fill the latency windows.
 const WARM_UP: usize = 50;
-/// Requests that are measured.
+/// Number of measured requests.
 const MEASURED: usize = 300;
-/// Least time that a leaf takes, and what it may take beyond that.
+/// Minimum response time of a leaf, and the maximum addition to it.
 const LEAF_TIME: [Duration; 2] = [Duration::from_millis(10), Duration::from_millis(30)];
-/// Bytes of a part: 25 records.
+/// Body of a part: 25 records.
 const PART: [u8; 400] = [7; 400];
-/// What one leaf attests.
+/// Attestation of a leaf.
 const ATTESTATION: &str = "3e1b.07.5a2.600.0.c9f2a4d1";
 
 fn main() {
@@ -34,11 +35,11 @@
     let broker = RoutedBroker::start(&[], &shards);
     let mut caller = broker.caller();
     serve(&mut caller, WARM_UP);
-    let before = processor_time(broker.broker.id());
+    let before = cpu_time(broker.broker.id());
     let began = Instant::now();
     serve(&mut caller, MEASURED);
     let wall = began.elapsed();
-    let used = processor_time(broker.broker.id()) - before;
+    let used = cpu_time(broker.broker.id()) - before;
     let parts = (SHARDS * MEASURED) as f64;
     println!(
         "{{\"shards\":{SHARDS},\"requests\":{MEASURED},\"processor_us_a_part\":{:.1},\"processor_ms_a_request\":{:.2},\"wall_ms_a_request\":{:.1}}}",
@@ -48,13 +49,13 @@
     );
 }
 
-/// A leaf that answers after a time that differs from request to request.
+/// A leaf whose response time differs from request to request.
 fn leaf(number: usize) -> ScriptedLeaf {
-    let turn = std::sync::atomic::AtomicUsize::new(number * 7);
+    let sequence = std::sync::atomic::AtomicUsize::new(number * 7);
     ScriptedLeaf::for_all(move |request| {
-        let turn = turn.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let sequence = sequence.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let [least, spread] = LEAF_TIME;
-        sleep(least + spread.mul_f64((turn % 89) as f64 / 89.0));
+        sleep(least + spread.mul_f64((sequence % 89) as f64 / 89.0));
         LeafAction::Send(reply(request, ATTESTATION, &PART))
     })
 }
@@ -67,8 +68,8 @@
     }
 }
 
-/// Processor time of a process since it started, of all its threads.
-fn processor_time(process: u32) -> Duration {
+/// CPU time of all threads of a process since its start.
+fn cpu_time(process: u32) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{process}/task")).expect("the broker runs");
     let nanoseconds = tasks.flatten().map(|task| {
         let text = fs::read_to_string(task.path().join("schedstat")).expect("the broker runs");
