--- a/crates/broker/tests/at_most_once.rs
+++ b/crates/broker/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may run at most once: to the leaf, and under a request key.
+//! At-most-once execution: of non-repeatable leaf requests, and of queries with a request key.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use support::control::catalog;
 use support::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
 
-fn close(_request: &LeafRequest) -> LeafAction {
+fn close_without_reply(_request: &LeafRequest) -> LeafAction {
     LeafAction::SendAndClose(Vec::new())
 }
 
-fn half_a_reply(request: &LeafRequest) -> LeafAction {
+fn truncated_reply(request: &LeafRequest) -> LeafAction {
     LeafAction::SendAndClose(request.reply("a body")[..30].to_vec())
 }
 
@@ -28,16 +28,16 @@
     ))
 }
 
-fn error(request: &LeafRequest) -> LeafAction {
+fn error_reply(request: &LeafRequest) -> LeafAction {
     LeafAction::Send(response(500, &request.reply_headers(), b""))
 }
 
 #[rstest]
-#[case::closed(close)]
-#[case::half_a_reply(half_a_reply)]
+#[case::closed(close_without_reply)]
+#[case::truncated_reply(truncated_reply)]
 #[case::wrong_version(wrong_version)]
-#[case::error(error)]
-fn a_request_whose_reply_is_lost_is_written_once_and_its_outcome_unknown(
+#[case::error_reply(error_reply)]
+fn lost_reply_gives_an_unknown_outcome_without_a_retry(
     #[case] reply: fn(&LeafRequest) -> LeafAction,
 ) {
     let leaves = [ScriptedLeaf::scripted(reply), ScriptedLeaf::scripted(reply)];
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_while_the_request_is_written_leaves_the_outcome_unknown() {
+fn connection_reset_during_the_write_gives_an_unknown_outcome() {
     const BODY_BYTES: usize = 8 * 1024 * 1024;
     let leaves = [ScriptedLeaf::resetting_after(1000), ScriptedLeaf::resetting_after(1000)];
     let catalog = catalog(&[&[leaves[0].address, leaves[1].address]]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_request_that_no_leaf_could_be_sent_was_not_run() {
+fn request_without_a_reachable_leaf_is_not_run() {
     let broker = Broker::start(&catalog(&[&[closed_address()]]));
     let response = broker.caller().ask(&Query::new("whole").once());
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_request_goes_to_another_leaf_when_the_first_cannot_be_reached() {
+fn unreachable_leaf_is_retried_on_another() {
     let leaf = ScriptedLeaf::honest("right");
     let broker = Broker::start(&catalog(&[&[closed_address(), leaf.address]]));
     for _ in 0..5 {
@@ -83,24 +83,24 @@
 }
 
 #[test]
-fn a_connection_that_the_leaf_closed_while_it_idled_costs_no_request() {
+fn idle_connection_closed_by_the_leaf_fails_no_request() {
     let leaf = ScriptedLeaf::scripted(|request| LeafAction::SendAndClose(request.reply("right")));
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     for _ in 0..3 {
         let response = broker.caller().ask(&Query::new("whole").once());
         assert_eq!(response.outcome(), "answered", "{}", response.body);
-        // The close has to reach the broker before the next request is written.
+        // The close_without_reply must reach the broker before the next request is written.
         std::thread::sleep(std::time::Duration::from_millis(200));
     }
     assert_eq!(leaf.searches().len(), 3);
 }
 
-/// A leaf that answers once the test lets it, and the means to let it.
+/// A leaf that withholds its answers, and the sender that releases them.
 fn held_leaf() -> (ScriptedLeaf, mpsc::Sender<()>) {
     let (release, held) = mpsc::channel();
     let held = Arc::new(Mutex::new(held));
     let leaf = ScriptedLeaf::scripted(move |request| {
-        // Ends with an error when the test is over.
+        // Returns an error_reply once the test has ended.
         let _ = held.lock().expect("no thread panicked").recv();
         LeafAction::Send(request.reply("booked"))
     });
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_resend_gets_the_recorded_answer_and_runs_nothing() {
+fn resend_returns_the_recorded_answer_without_running() {
     let leaf = ScriptedLeaf::honest("booked");
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let query = keyed(&broker);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_resend_waits_for_the_request_that_runs() {
+fn resend_waits_for_the_running_request() {
     let (leaf, release) = held_leaf();
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let query = keyed(&broker);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_caller_that_hung_up_gets_the_answer_when_it_sends_the_request_again() {
+fn resend_after_a_disconnect_returns_the_answer() {
     let (leaf, release) = held_leaf();
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let query = keyed(&broker);
@@ -157,8 +157,8 @@
 }
 
 #[test]
-fn an_unknown_outcome_stays_unknown_when_the_request_is_sent_again() {
-    let leaf = ScriptedLeaf::scripted(close);
+fn unknown_outcome_stays_unknown_on_a_resend() {
+    let leaf = ScriptedLeaf::scripted(close_without_reply);
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let query = keyed(&broker);
     for _ in 0..2 {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_key_of_an_earlier_run_is_never_executed() {
+fn key_of_an_earlier_run_is_not_executed() {
     let leaf = ScriptedLeaf::honest("booked");
     let catalog = catalog(&[&[leaf.address]]);
     let earlier = Broker::start(&catalog);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_key_does_not_serve_a_second_request() {
+fn key_cannot_be_reused_for_another_request() {
     let leaf = ScriptedLeaf::honest("booked");
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let query = keyed(&broker);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_key_that_is_not_one_or_on_a_repeatable_request_is_a_bad_request() {
+fn malformed_key_or_key_on_a_repeatable_request_is_refused() {
     let leaf = ScriptedLeaf::honest("booked");
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let nonsense = Query::new("whole").once().with("x-request-key", "nonsense");
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn no_key_is_issued_to_a_caller_without_an_account() {
+fn no_key_is_issued_without_an_account() {
     let broker = Broker::start(&catalog(&[&[closed_address()]]));
     let mut caller: Caller = broker.caller();
     caller.send(b"POST /v1/request-keys HTTP/1.1\r\nhost: x\r\nx-caller: stranger\r\ncontent-length: 0\r\n\r\n");
