--- a/crates/broker/tests/bad_input.rs
+++ b/crates/broker/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! What callers send that is not in order: a clear answer, and the next request is served.
+//! Invalid input of callers is refused with a clear response, and later requests are served.
 
 mod support;
 
@@ -13,10 +13,10 @@
 use support::leaf::{LeafAction, ScriptedLeaf};
 use support::wait_until;
 
-/// Largest request body of these tests.
+/// Configured limit of request bodies, in bytes.
 const BODY_BYTES: usize = 1000;
 
-/// A broker with an honest leaf, short request times and few connections.
+/// A broker with a working leaf, a short request timeout and few connections.
 fn fleet(settings: &str) -> (ScriptedLeaf, Broker) {
     let leaf = ScriptedLeaf::honest("right");
     let settings = format!("body_bytes = {BODY_BYTES}\n{settings}");
@@ -24,13 +24,13 @@
     (leaf, broker)
 }
 
-/// Nothing of the bad request was run, and a good one is answered.
+/// Asserts that no part of the bad request was run and that a valid one is answered.
 fn assert_unharmed(leaf: &ScriptedLeaf, broker: &Broker) {
     assert_eq!(leaf.searches().len(), 0);
     assert_eq!(broker.caller().ask(&Query::new("whole")).outcome(), "answered");
 }
 
-/// A request with this start line and these headers besides the usual ones.
+/// A request with this start line, the usual headers and these.
 fn request(start: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "{start}\r\nhost: x\r\nx-class: whole\r\nx-caller: desk\r\nx-deadline-ms: 5000\r\n\
@@ -65,10 +65,7 @@
 )]
 #[case::head_too_large(request(START, &format!("x-padding: {}\r\n", "x".repeat(20_000)), b""), 431)]
 #[case::head_without_end(request(START, &"x-a: b\r\n".repeat(4000), b"")[..20_000].to_vec(), 431)]
-fn a_message_that_is_not_acceptable_http_is_answered_and_the_connection_closed(
-    #[case] bytes: Vec<u8>,
-    #[case] status: u16,
-) {
+fn invalid_http_is_answered_and_the_connection_closed(#[case] bytes: Vec<u8>, #[case] status: u16) {
     let (leaf, broker) = fleet("");
     let mut caller = broker.caller();
     caller.send(&bytes);
@@ -107,7 +104,7 @@
     "bad_request"
 )]
 #[case::repeatable_what(Query::new("whole").with("x-repeatable", "maybe"), 400, "bad_request")]
-fn a_request_that_is_not_in_order_is_refused_and_the_connection_goes_on(
+fn invalid_request_is_refused_and_the_connection_kept(
     #[case] query: Query,
     #[case] status: u16,
     #[case] reason: &str,
@@ -122,7 +119,7 @@
 }
 
 #[test]
-fn a_query_without_a_deadline_gets_that_of_its_class() {
+fn query_without_a_deadline_takes_the_default_of_its_class() {
     let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let mut catalog = catalog(&[&[leaf.address]]);
     let service = ServiceName::new("tickets");
@@ -131,7 +128,7 @@
     apply(&mut catalog, Change::DefineClass { service, policy });
     let broker = Broker::start(&catalog);
     let mut caller = broker.caller();
-    // Without the deadline of the class the silent leaf would be waited for in vain.
+    // Without the deadline of the class, the broker would wait until the test times out.
     let response = caller.ask(&Query::new("whole").with("x-deadline-ms", ""));
     assert_eq!((response.status, response.outcome().as_str()), (504, "outcome_unknown"));
     let left = leaf.searches()[0].header("x-deadline-ms").parse::<u64>().expect("a number");
@@ -139,7 +136,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_but_not_one_that_waits_for_its_answer() {
+fn idle_connection_is_closed_but_not_a_waiting_one() {
     let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let broker = Broker::start_with(&catalog(&[&[leaf.address]]), "idle_time_ms = 50");
     let mut waiting = broker.caller();
@@ -163,7 +160,7 @@
 #[case::in_the_head(b"POST /v1/services/tick".to_vec())]
 #[case::in_the_body(request(START, "content-length: 100\r\n", b"only a part"))]
 #[case::between_chunks(request(START, "transfer-encoding: chunked\r\n", b"3\r\nabc\r\n"))]
-fn a_caller_that_stops_sending_is_told_and_its_connection_closed(#[case] bytes: Vec<u8>) {
+fn stalled_request_times_out_and_closes_the_connection(#[case] bytes: Vec<u8>) {
     let (leaf, broker) = fleet("request_time_ms = 200");
     let mut caller = broker.caller();
     caller.send(&bytes);
@@ -174,7 +171,7 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_within_its_request_leaves_nothing_behind() {
+fn disconnect_within_a_request_leaves_no_state() {
     let (leaf, broker) = fleet("");
     let mut caller = broker.caller();
     caller.send(&request(START, "content-length: 100\r\n", b"only a part"));
@@ -183,7 +180,7 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_has_its_query_cancelled() {
+fn disconnect_cancels_the_query() {
     let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut caller = broker.caller();
@@ -198,9 +195,9 @@
 }
 
 #[test]
-fn a_connection_too_many_is_refused_and_may_come_back() {
+fn connection_beyond_the_limit_is_refused_until_another_closes() {
     let (leaf, broker) = fleet("caller_connections = 2");
-    // The connection on which the broker was probed may be open for a moment.
+    // The connection of the start-up check may still be open.
     let mut held: Vec<Caller> = Vec::new();
     wait_until("two connections are served", || {
         let mut caller = broker.caller();
@@ -224,7 +221,7 @@
 }
 
 #[test]
-fn requests_that_are_sent_together_are_answered_in_order() {
+fn pipelined_requests_are_answered_in_order() {
     let leaf = ScriptedLeaf::scripted(|request| {
         LeafAction::Send(request.reply(&String::from_utf8_lossy(&request.body)))
     });
@@ -241,7 +238,7 @@
 }
 
 #[test]
-fn nonsense_after_a_good_request_does_not_cost_its_answer() {
+fn invalid_bytes_after_a_valid_request_do_not_affect_its_answer() {
     let (_leaf, broker) = fleet("");
     let mut caller = broker.caller();
     caller.send(&[&Query::new("whole").bytes()[..], b"nonsense\r\n\r\n"].concat());
@@ -253,10 +250,7 @@
 #[rstest]
 #[case::asked_for("HTTP/1.1", "connection: close\r\n")]
 #[case::old_protocol("HTTP/1.0", "")]
-fn the_connection_is_closed_after_the_answer_when_the_caller_wants_it(
-    #[case] version: &str,
-    #[case] headers: &str,
-) {
+fn connection_is_closed_after_the_answer_on_request(#[case] version: &str, #[case] headers: &str) {
     let (_leaf, broker) = fleet("");
     let mut caller = broker.caller();
     let start = format!("POST /v1/services/tickets/query {version}");
@@ -268,7 +262,7 @@
 }
 
 #[test]
-fn a_budget_that_is_spent_is_said_with_its_own_status() {
+fn spent_budget_has_its_own_status() {
     let (leaf, broker) = fleet("");
     let query = Query::new("urgent").with("x-caller", "poor");
     assert_eq!(broker.caller().ask(&query).outcome(), "answered");
