--- a/crates/broker/tests/control_links.rs
+++ b/crates/broker/tests/control_links.rs
@@ -1,4 +1,4 @@
-//! The broker's way to a control process that serves it.
+//! Connecting to a control process while others do not respond.
 
 mod support;
 
@@ -9,10 +9,10 @@
 use support::closed_address;
 use support::control::{ScriptedControl, catalog};
 
-/// Longest that the broker may take; three connections that are waited for in turn take longer.
+/// Time limit for the connection; three sequential connect timeouts take longer.
 const LIMIT: Duration = Duration::from_millis(1_200);
 
-/// An address whose host says nothing to a new connection, as one without power does.
+/// An address that does not answer connection attempts, like a host without power.
 struct SilentHost {
     address: SocketAddr,
     _listener: TcpListener,
@@ -24,17 +24,17 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
         let address = listener.local_addr().expect("an address");
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        // Once its queue is full, further connections are not answered.
+        // With a full accept queue, further connection attempts are not answered.
         let waiting = std::iter::from_fn(connect).collect();
         Self { address, _listener: listener, _waiting: waiting }
     }
 }
 
 #[test]
-fn control_processes_that_say_nothing_do_not_hold_up_the_one_that_serves() {
+fn unresponsive_control_processes_do_not_delay_the_connection() {
     let silent: Vec<SilentHost> = (0..6).map(|_| SilentHost::start()).collect();
     let silent: Vec<SocketAddr> = silent.iter().map(|host| host.address).collect();
-    // The order in which they are tried begins anywhere.
+    // The order of attempts starts at a random address.
     for _ in 0..4 {
         let control = ScriptedControl::serve(&catalog(&[&[closed_address()]]));
         let began = Instant::now();
