--- a/crates/broker/tests/crashing_requests.rs
+++ b/crates/broker/tests/crashing_requests.rs
@@ -1,4 +1,5 @@
-//! Requests under which leaves end: they cost few leaves, and the callers of other requests are served.
+//! Requests that crash leaves: they crash few leaves before they are refused, and other requests are
+//! served.
 
 mod support;
 
@@ -16,12 +17,12 @@
 use support::routed::{RoutedBroker, configuration, directory, feed_messages, honest, reply};
 use support::wait_until;
 
-/// What paths of requests hold that crash leaves.
+/// Part of the path of requests that crash leaves.
 const CRASHING: &str = "crashing";
-/// Leaves that one request may cost: two that are asked first, and one more that proves it.
-const MOST_ENDED: usize = 3;
+/// Maximum number of leaves that a request may crash: two first attempts, and one that confirms.
+const MAX_LOST_LEAVES: usize = 3;
 
-/// A leaf that ends under a crashing request, and answers all others after a moment.
+/// A leaf that ends on a crashing request and answers all others after a short delay.
 fn crashing(attestation: &'static str) -> Arc<ScriptedLeaf> {
     let (crash, crashes) = sync_channel(16);
     let leaf = Arc::new(ScriptedLeaf::for_all(move |request| {
@@ -29,7 +30,7 @@
         if !request.head.contains(CRASHING) {
             return LeafAction::Send(reply(request, attestation, &[b'x'; 16]));
         }
-        // The leaf may be ending already.
+        // The leaf may already have ended.
         let _ = crash.try_send(());
         LeafAction::NoReply
     }));
@@ -42,15 +43,15 @@
     leaf
 }
 
-/// Leaves that were sent a crashing request.
-fn hit(leaves: &[Arc<ScriptedLeaf>]) -> usize {
+/// Number of leaves that received a crashing request.
+fn leaves_hit(leaves: &[Arc<ScriptedLeaf>]) -> usize {
     let is_hit = |leaf: &&Arc<ScriptedLeaf>| {
         leaf.requests().iter().any(|request| request.head.contains(CRASHING))
     };
     leaves.iter().filter(is_hit).count()
 }
 
-/// The findings that a broker reported.
+/// The crash findings reported by a broker.
 fn findings(broker: &RoutedBroker) -> Vec<CrashFinding> {
     let received = broker.broker.control.received();
     let reports = received.iter().filter_map(|message| match message {
@@ -63,7 +64,7 @@
     reports.flatten().collect()
 }
 
-/// Waits until a broker has reported that a request is refused.
+/// Waits until a broker has reported a request as refused.
 fn reported_refusal(broker: &RoutedBroker) -> CrashFinding {
     let refusal = || findings(broker).into_iter().find(|found| found.verdict == Verdict::Refused);
     wait_until("the refusal is reported", || refusal().is_some());
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_gathered_request_costs_few_leaves_and_is_then_refused() {
+fn crashing_gather_is_refused_after_few_lost_leaves() {
     let leaves: Vec<Arc<ScriptedLeaf>> = (0..16).map(|_| crashing("part")).collect();
     let addresses: Vec<[SocketAddr; 2]> =
         leaves.chunks(2).map(|pair| [pair[0].address, pair[1].address]).collect();
@@ -79,14 +80,14 @@
     let broker = RoutedBroker::start(&[], &shards);
     assert_eq!(broker.get("/all/before").status, 200);
     assert_eq!(broker.get("/all/crashing").status, 502, "it may have run");
-    let lost = hit(&leaves);
-    assert!(lost <= MOST_ENDED, "{lost} leaves ended");
+    let lost = leaves_hit(&leaves);
+    assert!(lost <= MAX_LOST_LEAVES, "{lost} leaves ended");
 
     let again = broker.get("/all/crashing");
     assert_eq!(again.status, 503, "nothing of it has run");
     let after: f64 = again.header("retry-after").expect("a time").parse().expect("seconds");
     assert!((20.0..=30.0).contains(&after), "{after} s");
-    assert_eq!(hit(&leaves), lost);
+    assert_eq!(leaves_hit(&leaves), lost);
     assert_eq!(broker.get("/all/other").status, 200, "other requests are served");
 
     let found = reported_refusal(&broker);
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_request_to_one_leaf_costs_no_more_than_its_attempts() {
+fn crashing_request_loses_no_more_leaves_than_attempts() {
     let leaves: Vec<Arc<ScriptedLeaf>> = (0..4).map(|_| crashing("leaf")).collect();
     let addresses: Vec<SocketAddr> = leaves.iter().map(|leaf| leaf.address).collect();
     let broker = RoutedBroker::start(&addresses, &[]);
@@ -105,24 +106,24 @@
     for _ in 0..3 {
         assert_eq!(broker.get("/one/crashing").status, 503);
     }
-    assert_eq!(hit(&leaves), 2);
+    assert_eq!(leaves_hit(&leaves), 2);
     assert_eq!(broker.get("/one/other").status, 200);
 }
 
 #[test]
-fn a_request_that_may_run_once_is_sent_to_one_leaf_a_try() {
+fn non_repeatable_crashing_request_is_sent_to_one_leaf_each_time() {
     let leaves: Vec<Arc<ScriptedLeaf>> = (0..4).map(|_| crashing("leaf")).collect();
     let addresses: Vec<SocketAddr> = leaves.iter().map(|leaf| leaf.address).collect();
     let broker = RoutedBroker::start(&addresses, &[]);
     assert_eq!(broker.get("/once/crashing").status, 502);
     assert_eq!(broker.get("/once/crashing").status, 502);
     assert_eq!(broker.get("/once/crashing").status, 503);
-    assert_eq!(hit(&leaves), 2);
+    assert_eq!(leaves_hit(&leaves), 2);
 }
 
-/// The leaf closes connections and goes on: nothing speaks against the request.
+/// The leaf closes connections but keeps running, so that the request is not suspected.
 #[test]
-fn a_lost_connection_alone_speaks_against_no_request() {
+fn lost_connection_alone_raises_no_suspicion() {
     let careless = ScriptedLeaf::for_all(|_| LeafAction::SendAndClose(Vec::new()));
     let broker = RoutedBroker::start(&[careless.address], &[]);
     for _ in 0..4 {
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn what_one_broker_found_keeps_the_leaves_of_another() {
+fn finding_of_one_broker_protects_the_leaves_of_another() {
     let lost: Vec<Arc<ScriptedLeaf>> = (0..2).map(|_| crashing("leaf")).collect();
     let first = RoutedBroker::start(&[lost[0].address, lost[1].address], &[]);
     assert_eq!(first.get("/one/crashing").status, 502);
@@ -151,7 +152,7 @@
     assert_eq!(kept.requests().len(), 1);
 }
 
-/// What the control tier has of a request of which a trial is due.
+/// Feed message with a refused request of which a trial is due.
 fn due(digest: RequestDigest) -> FeedMessage {
     let route = "one".to_owned();
     let finding = CrashFinding { digest, route, leaves: 3, verdict: Verdict::Refused, for_ms: 0 };
@@ -159,7 +160,7 @@
     FeedMessage::RefusedRequests { is_whole: true, findings }
 }
 
-/// A broker of which the control tier refuses a request, over these leaves.
+/// A broker with these leaves; the control process refuses the request to `path`.
 fn refusing(path: &str, leaves: &[SocketAddr], grants_trials: Option<bool>) -> RoutedBroker {
     let digest = gingerkeel_broker::routes::request_digest("GET", "h", path, b"");
     let mut feed_messages = feed_messages(&configuration(0), &directory(leaves, &[]));
@@ -171,7 +172,7 @@
 #[rstest]
 #[case::denied(Some(false))]
 #[case::not_answered(None)]
-fn a_refused_request_is_not_sent_without_a_trial(#[case] grants_trials: Option<bool>) {
+fn refused_request_is_not_sent_without_a_trial(#[case] grants_trials: Option<bool>) {
     let leaf = honest("kept", b"body");
     let broker = refusing("/one/crashing", &[leaf.address], grants_trials);
     let refused = broker.get("/one/crashing");
@@ -183,20 +184,20 @@
 }
 
 #[test]
-fn a_trial_costs_one_leaf_where_the_request_crashes_it() {
+fn trial_of_a_crashing_request_loses_one_leaf() {
     let leaves: Vec<Arc<ScriptedLeaf>> = (0..3).map(|_| crashing("leaf")).collect();
     let addresses: Vec<SocketAddr> = leaves.iter().map(|leaf| leaf.address).collect();
     let broker = refusing("/one/crashing", &addresses, Some(true));
     assert_eq!(broker.get("/one/crashing").status, 502);
-    assert_eq!(hit(&leaves), 1);
+    assert_eq!(leaves_hit(&leaves), 1);
     let refusal = reported_refusal(&broker);
     assert!(refusal.leaves >= 4, "{refusal:?}");
     assert_eq!(broker.get("/one/crashing").status, 503);
-    assert_eq!(hit(&leaves), 1);
+    assert_eq!(leaves_hit(&leaves), 1);
 }
 
 #[test]
-fn a_trial_that_is_answered_is_told_to_the_control_tier() {
+fn answered_trial_is_reported_to_the_control_process() {
     let leaf = honest("kept", b"body");
     let broker = refusing("/one/harmless", &[leaf.address], Some(true));
     assert_eq!(broker.get("/one/harmless").status, 200);
@@ -205,11 +206,11 @@
     assert_eq!(broker.get("/one/harmless").status, 200);
 }
 
-/// The leaf answers for its queue, say, and has not run the request.
+/// The leaf may answer without having run the request, for example from its queue.
 #[rstest]
 #[case::failure(500)]
 #[case::overload(503)]
-fn a_suspicion_is_not_cleared_by_a_failure_of_another_leaf(#[case] status: u16) {
+fn failure_of_another_leaf_does_not_clear_a_suspicion(#[case] status: u16) {
     let lost = crashing("leaf");
     let failing = ScriptedLeaf::for_all(move |_| {
         LeafAction::Send(response(status, "x-queue: full\r\n", b""))
@@ -222,7 +223,8 @@
     assert!(!broker.broker.log().contains("event=crash_suspicion_cleared"));
 }
 
-/// Other leaves have the addresses of the other shards, so that the answer is given up while the request is under way.
+/// Leaves of other services have taken the addresses of the other shards, so that the gather fails
+/// while the request is still in flight.
 #[test]
 fn the_end_of_a_leaf_is_not_missed_when_its_request_is_given_up() {
     let lost: Vec<Arc<ScriptedLeaf>> = (0..2).map(|_| crashing("part")).collect();
@@ -235,7 +237,7 @@
     shards.extend(taken.iter().map(|address| &address[..]));
     let broker = RoutedBroker::start(&[], &shards);
     assert_eq!(broker.get("/all/crashing").status, 502);
-    assert_eq!(hit(&lost), 1);
+    assert_eq!(leaves_hit(&lost), 1);
     wait_until("the end is held against the request", || {
         broker.broker.log().contains("event=leaf_ended_under_request request=r1")
     });
