--- a/crates/broker/tests/ended_leaves.rs
+++ b/crates/broker/tests/ended_leaves.rs
@@ -1,6 +1,7 @@
-//! A leaf ends, and a leaf of another service gets its address while the list goes on naming the ended one.
+//! Address reuse: a leaf ends, and a leaf of another service takes its address while the directory
+//! still lists the ended leaf.
 //!
-//! What goes wrong without the rules, and how it was found: `crates/simulation/tests/taken_addresses.rs`.
+//! `crates/simulation/tests/taken_addresses.rs` has the failures without the rules.
 
 mod support;
 
@@ -11,41 +12,41 @@
 use support::leaf::{LeafAction, ScriptedLeaf, response};
 use support::routed::{RoutedBroker, honest, reply};
 
-/// Time after the end of a leaf from which on another one may have its address.
+/// Minimum time between the end of a leaf and the reuse of its address.
 const ADDRESS_REUSE: Duration = Duration::from_millis(2_000);
-/// Time for which callers go on asking after that: an ejection is over by then.
-const ASKED_AFTER: Duration = Duration::from_millis(2_500);
-/// Time between two requests.
-const BETWEEN_REQUESTS: Duration = Duration::from_millis(20);
+/// How long requests continue afterwards: longer than an ejection.
+const REQUESTS_AFTER_REUSE: Duration = Duration::from_millis(2_500);
+/// Interval of the requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-fn ask_for(broker: &RoutedBroker, span: Duration) {
+fn send_requests(broker: &RoutedBroker, span: Duration) {
     let begun = Instant::now();
     while begun.elapsed() < span {
         assert_eq!(broker.get("/one/").status, 200);
-        sleep(BETWEEN_REQUESTS);
+        sleep(REQUEST_INTERVAL);
     }
 }
 
-/// A leaf that has the address of another one, and runs nothing that is meant for that.
+/// A leaf at the address of an ended one; it rejects requests for the ended leaf.
 fn successor_of(ended: &ScriptedLeaf) -> ScriptedLeaf {
     let refusal = |_: &_| LeafAction::Send(response(421, "gingerkeel-not-executed: 1\r\n", b""));
     ScriptedLeaf::for_all_at(ended.address, refusal)
 }
 
-/// The near leaf ends; the far one serves.
+/// The near leaf ends and the far one serves.
 #[rstest]
 #[case::asked_all_the_time(Duration::ZERO)]
 #[case::asked_once_before_its_address_is_taken(ADDRESS_REUSE)]
-fn no_request_reaches_the_leaf_that_has_the_address_of_an_ended_one(#[case] silence: Duration) {
+fn no_request_reaches_a_leaf_at_a_reused_address(#[case] silence: Duration) {
     let near = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "near", b"body")));
     let far = honest("far", b"body");
     let broker = RoutedBroker::start(&[near.address, far.address], &[]);
-    ask_for(&broker, Duration::from_millis(200));
+    send_requests(&broker, Duration::from_millis(200));
     assert!(!near.requests().is_empty(), "the near leaf was not asked");
     near.end();
     sleep(silence);
-    ask_for(&broker, ADDRESS_REUSE.saturating_sub(silence).max(BETWEEN_REQUESTS));
+    send_requests(&broker, ADDRESS_REUSE.saturating_sub(silence).max(REQUEST_INTERVAL));
     let successor = successor_of(&near);
-    ask_for(&broker, ASKED_AFTER);
+    send_requests(&broker, REQUESTS_AFTER_REUSE);
     assert_eq!(successor.requests().len(), 0);
 }
