--- a/crates/broker/tests/flags.rs
+++ b/crates/broker/tests/flags.rs
@@ -1,4 +1,4 @@
-//! The flags of the program, as an operator meets them.
+//! Command-line flags of the broker program.
 
 use std::process::{Command, Output};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn missing_settings_file_is_named_and_nothing_starts() {
+fn missing_settings_file_is_named_and_the_broker_does_not_start() {
     let output = run(&["--settings", "/does/not/exist.toml"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("/does/not/exist.toml"));
