--- a/crates/broker/tests/leaf_replies.rs
+++ b/crates/broker/tests/leaf_replies.rs
@@ -1,4 +1,4 @@
-//! Replies of leaves that must not be merged, and coverage that says so.
+//! Invalid replies of leaves are not merged, and the coverage of the answer shows it.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::control::catalog;
 use support::leaf::{LeafAction, LeafRequest, ScriptedLeaf, response};
 
-/// Bytes beyond what a broker takes from a leaf.
+/// A size beyond the broker's limit of replies, in bytes.
 const TOO_MANY_BYTES: usize = 2 * 1024 * 1024;
 
 fn cut_short(request: &LeafRequest) -> LeafAction {
@@ -94,7 +94,7 @@
     LeafAction::Send(response(500, &request.reply_headers(), b"wrong"))
 }
 
-/// A fleet of an honest leaf for shard 0 and a bad one for shard 1.
+/// A working leaf holds shard 0 and a faulty leaf shard 1.
 #[rstest]
 #[case::cut_short(cut_short)]
 #[case::cut_in_head(cut_in_head)]
@@ -112,7 +112,9 @@
 #[case::two_lengths(two_lengths)]
 #[case::garbage(garbage)]
 #[case::leaf_error(leaf_error)]
-fn a_bad_reply_is_not_merged_and_its_shard_is_named(#[case] reply: fn(&LeafRequest) -> LeafAction) {
+fn invalid_reply_is_not_merged_and_its_shard_is_reported_missing(
+    #[case] reply: fn(&LeafRequest) -> LeafAction,
+) {
     let (honest, bad) = (ScriptedLeaf::honest("right"), ScriptedLeaf::scripted(reply));
     let broker = Broker::start(&catalog(&[&[honest.address], &[bad.address]]));
     let mut caller = broker.caller();
@@ -129,7 +131,7 @@
 }
 
 #[test]
-fn a_reply_that_comes_twice_is_not_taken_for_the_next_request() {
+fn duplicate_reply_is_not_used_for_the_next_request() {
     let leaf = ScriptedLeaf::scripted(|request| {
         let body = String::from_utf8_lossy(&request.body).into_owned();
         LeafAction::Send([request.reply(&body), request.reply(&body)].concat())
@@ -140,7 +142,7 @@
         let text = format!("query {number}");
         let response =
             caller.ask(&Query { body: text.clone().into_bytes(), ..Query::new("whole") });
-        // The doubled reply ends the connection, so that an attempt may be lost.
+        // The duplicate reply ends the connection, so that an attempt may fail.
         if response.outcome() == "answered" {
             assert_eq!(response.json()["parts"][0]["body"], text);
         }
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn a_shard_that_no_leaf_ran_is_named_as_not_run() {
+fn shard_that_no_leaf_ran_is_reported_as_not_run() {
     let honest = ScriptedLeaf::honest("right");
     let shedding = ScriptedLeaf::scripted(|request| {
         let headers = format!("{}x-not-run: shedding\r\n", request.reply_headers());
@@ -160,7 +162,7 @@
 }
 
 #[test]
-fn when_no_leaf_ran_anything_the_query_was_not_run() {
+fn query_that_no_leaf_ran_is_not_run() {
     let shedding = ScriptedLeaf::scripted(|request| {
         let headers = format!("{}x-not-run: shedding\r\n", request.reply_headers());
         LeafAction::Send(response(503, &headers, b""))
@@ -171,11 +173,11 @@
     assert!(response.header("retry-after").is_some());
 }
 
-/// A class that answers early does so without the silent shard; the other one waits for it.
+/// A class with partial answers does not wait for the slow shard; a class with full answers does.
 #[rstest]
 #[case::early("urgent", "answered", 0.5)]
 #[case::full("whole", "answered", 1.0)]
-fn the_class_decides_whether_a_late_shard_is_waited_for(
+fn answer_policy_decides_whether_a_late_shard_is_awaited(
     #[case] class: &str,
     #[case] outcome: &str,
     #[case] coverage: f64,
