--- a/crates/broker/tests/leaf_choice.rs
+++ b/crates/broker/tests/leaf_choice.rs
@@ -1,4 +1,4 @@
-//! Which leaves a broker process asks at all: regions, evacuations, taken addresses, cold leaves.
+//! Eligibility of leaves: regions, evacuated zones, reused addresses and cold leaves.
 
 mod support;
 
@@ -15,9 +15,9 @@
 use support::routed::{RoutedBroker, configuration, directory, feed_messages, honest, rejection};
 use support::wait_until;
 
-/// The broker's zone is in region `south`; the region of the second leaf's zone is not known.
+/// The broker's zone is in region `south`; the region of the second leaf's zone is unknown.
 #[test]
-fn requests_stay_in_the_regions_of_their_route_also_when_they_are_sent_again() {
+fn requests_and_retries_stay_in_the_regions_of_their_route() {
     let near = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let elsewhere = honest("stamp", b"body");
     let mut routes = configuration(0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_that_no_allowed_leaf_can_serve_is_refused_at_once_with_its_reason() {
+fn request_without_an_eligible_leaf_is_refused_at_once_with_the_reason() {
     let leaf = honest("stamp", b"body");
     let mut routes = configuration(1);
     for route in &mut routes.routes {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_leaf_whose_address_another_one_has_is_asked_once() {
+fn leaf_at_a_reused_address_gets_one_request() {
     let stranger = ScriptedLeaf::for_all(|_| LeafAction::Send(response(421, "", b"")));
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start(&[stranger.address, leaf.address], &[]);
@@ -64,9 +64,9 @@
     assert_eq!(stranger.requests().len(), 1);
 }
 
-/// The first leaf of each service is in zone `a`, the second in `b`.
+/// The first leaf of each service is in zone `a`, the second in zone `b`.
 #[test]
-fn leaves_of_an_evacuated_zone_get_nothing_from_the_first_request_on() {
+fn leaves_of_an_evacuated_zone_get_no_requests() {
     let (near, other) = (honest("near", b"near"), honest("other", b"other"));
     let leaves = directory(&[near.address, other.address], &[&[near.address]]);
     let feed_messages = feed_messages(&configuration(1), &leaves);
@@ -82,9 +82,9 @@
     wait_until("the reason is logged", || broker.broker.log().contains("no_leaf=zone_evacuated"));
 }
 
-/// Two requests a second may go to a cold leaf from all brokers together, and there is one broker.
+/// A cold leaf may get two requests a second from all brokers together; there is one broker.
 #[test]
-fn a_cold_leaf_gets_no_more_than_it_takes_and_the_others_carry_the_rest() {
+fn cold_leaf_gets_requests_up_to_its_rate_and_others_the_rest() {
     let (cold, warm) = (honest("cold", b"cold"), honest("warm", b"warm"));
     let mut routes = configuration(0);
     for service in &mut routes.services {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_a_leaf_says_of_its_load_is_counted_and_logged_with_the_next_request() {
+fn load_report_of_a_leaf_is_counted_and_logged_with_the_next_request() {
     let leaf = ScriptedLeaf::for_all(|request| {
         let id = request.header("gingerkeel-request-id");
         let fields = format!(
@@ -134,7 +134,7 @@
 #[case::bad_pace("1,2,4,fast", None)]
 #[case::negative("1,-2,4", None)]
 #[case::empty("", None)]
-fn a_load_that_is_not_as_agreed_says_nothing(
+fn malformed_load_report_is_ignored(
     #[case] text: &str,
     #[case] expected: Option<(u32, u32, u32, u32)>,
 ) {
