--- a/crates/broker/tests/leaf_starts.rs
+++ b/crates/broker/tests/leaf_starts.rs
@@ -1,4 +1,4 @@
-//! Leaves that start again under the name that they had.
+//! Leaves that restart under the same name.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use gingerkeel_domain::identifiers::LeafIdentity;
 use support::routed::{RoutedBroker, configuration, directory, honest};
 
-/// A list of one leaf that tells its start.
+/// A directory of one leaf with its start number.
 fn started(address: SocketAddr, start: u64) -> LeafDirectory {
     let listed = directory(&[address], &[]);
     let run = |leaf: &ListedLeaf| ListedLeaf {
@@ -22,9 +22,9 @@
     directory
 }
 
-/// A leaf knows itself by its name, whenever it started.
+/// A leaf checks requests against its name, which a restart does not change.
 #[test]
-fn a_leaf_is_asked_by_its_name() {
+fn request_names_the_leaf_without_its_start() {
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start_with(&configuration(0), &started(leaf.address, 7));
     assert_eq!(broker.get("/one/").status, 200);
