--- a/crates/broker/tests/leaf_warnings.rs
+++ b/crates/broker/tests/leaf_warnings.rs
@@ -1,4 +1,4 @@
-//! What a broker process reports of leaves, and what it does about leaves that others warn of.
+//! Reports of slow leaves, and the effect of warnings from other brokers.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use support::wait_until;
 
 #[test]
-fn a_leaf_that_others_find_slow_is_asked_last() {
+fn leaf_with_a_slow_warning_is_tried_last() {
     let (near, other) = (honest("near", b"near"), honest("other", b"other"));
     let (configuration, directory) =
         (configuration(0), directory(&[near.address, other.address], &[]));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_leaf_that_is_slower_than_those_of_the_other_shards_is_reported() {
+fn leaf_slower_than_those_of_other_shards_is_reported() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(150));
         LeafAction::Send(reply(request, "slow", &records(b"a")))
