--- a/crates/broker/tests/metrics.rs
+++ b/crates/broker/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as they are read, and what the process opens.
+//! The metrics endpoint, and the descriptors that the process opens.
 
 mod support;
 
@@ -28,7 +28,7 @@
         "gingerkeel_broker_queries_total{service=\"tickets\",class=\"urgent\",outcome=\"outcome_unknown\"} 1",
         "gingerkeel_broker_queries_total{service=\"unknown\",class=\"unknown\",outcome=\"not_run\"} 1",
         "gingerkeel_broker_query_seconds_count{service=\"tickets\",class=\"whole\"} 2",
-        // Two shards each, three times; two retries of the failing shard for each repeatable one.
+        // Three queries to two shards each; two retries of the failing shard per repeatable query.
         "gingerkeel_broker_leaf_requests_total{kind=\"primary\"} 6",
         "gingerkeel_broker_leaf_requests_total{kind=\"retry\"} 4",
         "gingerkeel_broker_queries_in_flight 0",
@@ -60,7 +60,7 @@
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     assert_eq!(broker.caller().ask(&Query::new("whole")).outcome(), "answered");
     let folder = fs::read_dir(format!("/proc/{}/fd", broker.id())).expect("descriptors are listed");
-    // A descriptor may be closed between the list and the look.
+    // A descriptor may be closed between listing and reading it.
     let targets: Vec<String> = folder
         .filter_map(|entry| fs::read_link(entry.ok()?.path()).ok())
         .map(|target| target.to_string_lossy().into_owned())
