--- a/crates/broker/tests/operations.rs
+++ b/crates/broker/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Each way of `docs/OPERATIONS.md`, followed on the fresh output of a broker process: the printed
-//! commands are run as they stand, with the request's id and the log filled in.
+//! Runs the procedures of `docs/OPERATIONS.md` on the log of a broker process: the printed commands
+//! run unchanged, except for the request id and the log file.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::{closed_address, wait_until};
 use tempfile::TempDir;
 
-/// The commands of a section of the page, in their order.
+/// The commands of a section of the page, in order.
 fn commands(section: &str) -> Vec<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
     let page = std::fs::read_to_string(path).expect("the page");
@@ -26,7 +26,7 @@
     blocks.filter_map(|block| block.split("\n```").next().map(str::to_owned)).collect()
 }
 
-/// A log on disk, and the request that is looked into.
+/// A log file and the request under investigation.
 struct Inquiry {
     _folder: TempDir,
     log: PathBuf,
@@ -41,7 +41,7 @@
         Self { _folder: folder, log, id }
     }
 
-    /// What a command of the page prints.
+    /// Output of a command of the page.
     fn run(&self, command: &str) -> String {
         let log = self.log.display().to_string();
         let command = command.replace("LOG", &log).replace("ID", self.id);
@@ -49,7 +49,7 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// What the commands of a section print, one text a command.
+    /// Output of each command of a section.
     fn follow(&self, section: &str) -> Vec<String> {
         commands(section).iter().map(|command| self.run(command)).collect()
     }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_leaf_is_found_that_an_answer_lacks() {
+fn leaf_missing_from_an_answer_is_found() {
     let good = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "g", &[1; 16])));
     let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[], &[&[good.address], &[silent.address]]);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_leaf_is_found_that_let_a_request_run_into_its_time_out() {
+fn leaf_that_made_a_request_time_out_is_found() {
     let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
@@ -95,13 +95,13 @@
 }
 
 #[test]
-fn a_refusal_for_lack_of_capacity_is_traced_to_the_leaves() {
+fn overload_refusal_is_traced_to_the_leaves() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(700));
         LeafAction::Send(reply(request, "s", b"x"))
     });
     let broker = RoutedBroker::start(&[slow.address], &[]);
-    // Late answers by the dozen, until the broker limits what is under way.
+    // Sends slow requests until the broker limits concurrency.
     wait_until("the broker limits requests", || {
         let mut callers: Vec<_> = (0..16).map(|_| broker.caller()).collect();
         callers.iter_mut().for_each(|caller| caller.send(request("/once/", "2500").as_bytes()));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_broker_that_knows_nothing_is_found() {
+fn broker_without_configuration_is_found() {
     let broker = RoutedBroker::start_on(ControlScript::default(), "");
     assert_eq!(broker.get("/one/").status, 503);
     logged(&broker, "event=request_ended");
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_request_that_was_lost_with_its_broker_has_no_line() {
+fn request_lost_with_its_broker_has_no_log_line() {
     let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let mut broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn ordinary_requests_are_logged_by_sample() {
+fn successful_requests_are_logged_by_sampling() {
     let good = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "g", b"x")));
     for (sample, expected) in [("0", false), ("1", true)] {
         let feed_messages =
