--- a/crates/broker/tests/planned_stop.rs
+++ b/crates/broker/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: what is in flight finishes, new work is refused, nothing is cut.
+//! A planned stop drains queries in flight, refuses new ones and truncates no answer.
 
 mod support;
 
@@ -12,12 +12,12 @@
 use support::leaf::{LeafAction, ScriptedLeaf};
 use support::wait_until;
 
-/// A leaf that answers once the test lets it, and the means to let it.
+/// A leaf that withholds its answers, and the sender that releases them.
 fn held_leaf() -> (ScriptedLeaf, mpsc::Sender<()>) {
     let (release, held) = mpsc::channel();
     let held = Arc::new(Mutex::new(held));
     let leaf = ScriptedLeaf::scripted(move |request| {
-        // Ends with an error when the test is over.
+        // Returns an error once the test has ended.
         let _ = held.lock().expect("no thread panicked").recv();
         LeafAction::Send(request.reply("finished"))
     });
@@ -32,7 +32,7 @@
 #[rstest]
 #[case::terminate(Signal::TERM)]
 #[case::interrupt(Signal::INT)]
-fn what_is_in_flight_finishes_and_new_work_is_refused(#[case] signal: Signal) {
+fn queries_in_flight_finish_and_new_ones_are_refused(#[case] signal: Signal) {
     let (leaf, release) = held_leaf();
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut in_flight = broker.caller();
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn a_request_that_comes_on_an_open_connection_is_refused_and_the_connection_closed() {
+fn new_request_on_an_open_connection_is_refused_and_the_connection_closed() {
     let (leaf, release) = held_leaf();
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut in_flight = broker.caller();
-    // The second request of the connection is read only after the first is answered.
+    // The second request of the connection is read only after the first response.
     let query = Query::new("whole").with("x-deadline-ms", "30000").bytes();
     in_flight.send(&[&query[..], &query[..]].concat());
     leaf.wait_for_searches(1);
@@ -81,11 +81,11 @@
 }
 
 #[test]
-fn a_request_that_is_half_sent_is_answered() {
+fn partially_sent_request_is_answered() {
     let leaf = ScriptedLeaf::honest("right");
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut caller = broker.caller();
-    // The first answer shows that the connection is served.
+    // The first response shows that the connection is being served.
     assert_eq!(caller.ask(&Query::new("whole")).outcome(), "answered");
     let query = Query::new("whole").bytes();
     let (begin, end) = query.split_at(40);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_query_that_no_leaf_answers_ends_at_its_deadline_and_so_does_the_broker() {
+fn unanswered_query_delays_the_stop_until_its_deadline() {
     let leaf = ScriptedLeaf::scripted(|_| LeafAction::NoReply);
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut caller = broker.caller();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn idle_connections_do_not_keep_the_broker() {
+fn idle_connections_do_not_delay_the_stop() {
     let leaf = ScriptedLeaf::honest("right");
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let mut idle: Vec<Caller> = (0..5).map(|_| broker.caller()).collect();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_request_under_a_key_finishes_though_its_caller_is_gone() {
+fn request_with_a_key_finishes_after_its_caller_disconnects() {
     let (leaf, release) = held_leaf();
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
     let key = issue_key(broker.caller()).expect("a key");
