--- a/crates/broker/tests/quotas.rs
+++ b/crates/broker/tests/quotas.rs
@@ -1,4 +1,5 @@
-//! Quotas of tenants at a broker: what is refused, what counts, and what control hears and says of it.
+//! Tenant quotas at a broker: refusals, what counts against a quota, and usage reports to and from
+//! the control process.
 
 mod support;
 
@@ -20,14 +21,14 @@
 
 /// The key of the tenant `kiosk`.
 const KEY: &str = "k-3f9c81d2";
-/// No tolerance: what is refused is then known to the request.
+/// No tolerance, so that the number of refused requests is exact.
 const EXACT: &str = "quota_overshoot = 0.0\nquota_slack = 0.0\n";
-/// A burst that no test comes near.
+/// A burst that no test uses up.
 const AMPLE: u64 = 1_000_000;
-/// Seconds in which a tenant may send one request once its burst is used up: longer than any test.
+/// Seconds until a used-up burst refills by one request; longer than any test.
 const REFILL_SECONDS: u64 = 1_000;
 
-/// The usual routes for the tenant `kiosk`, which may send `burst` requests and then next to none.
+/// The usual routes with the tenant `kiosk`, which may send `burst` requests, then practically none.
 fn limited(shards: usize, burst: u64) -> RouteConfiguration {
     let mut configuration = configuration(shards);
     configuration.tenants = vec![Tenant {
@@ -67,8 +68,8 @@
     (0..requests).map(|_| get(broker, path).status).collect()
 }
 
-/// Word that the quota is used up, or far from it, while many requests come at all brokers.
-fn told(level: i64) -> FeedMessage {
+/// Feed message with the fleet's quota level, while all brokers receive many requests.
+fn fleet_usage(level: i64) -> FeedMessage {
     let levels = vec![TenantLevel {
         tenant: TenantName::new("kiosk"),
         level_thousandths: level * 1_000,
@@ -78,8 +79,8 @@
     FeedMessage::Usage { usage: usage.into() }
 }
 
-/// Waits until control has heard of so many requests that were admitted, and of some that came. How many
-/// came is told for the last moments only.
+/// Waits until this many admissions are reported, and some arrivals: arrivals are reported for a
+/// recent window only.
 fn wait_reported(broker: &RoutedBroker, admitted: u32) {
     wait_until("all is reported", || {
         let reports = reported(broker);
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn a_request_beyond_the_quota_is_refused_at_once_and_reaches_no_leaf() {
+fn request_beyond_the_quota_is_refused_at_once_and_reaches_no_leaf() {
     let leaf = honest("stamp", b"body");
     let broker = start(&limited(0, 1), &[&leaf]);
     assert_eq!(get(&broker, "/one/").status, 200);
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_request_to_many_shards_counts_once() {
+fn request_to_many_shards_counts_once() {
     let leaves: Vec<ScriptedLeaf> = (0..8).map(|_| honest("stamp", b"")).collect();
     let addresses: Vec<[SocketAddr; 1]> = leaves.iter().map(|leaf| [leaf.address]).collect();
     let shards: Vec<&[SocketAddr]> = addresses.iter().map(|address| &address[..]).collect();
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_request_that_no_leaf_was_asked_for_does_not_count() {
+fn request_sent_to_no_leaf_does_not_count() {
     let leaf = honest("stamp", b"body");
     let mut configuration = limited(0, AMPLE);
     configuration.tenants[0].allowed_regions = RegionPolicy::only([RegionName::new("elsewhere")]);
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn a_tenant_without_a_limit_is_never_refused() {
+fn tenant_without_a_limit_is_never_refused() {
     let leaf = honest("stamp", b"body");
     let mut configuration = limited(0, 1);
     configuration.tenants[0].quota = TenantQuota::default();
@@ -164,17 +165,17 @@
 }
 
 #[test]
-fn news_that_the_quota_is_used_up_elsewhere_refuse_here() {
+fn usage_at_other_brokers_refuses_requests() {
     let leaf = honest("stamp", b"body");
     let mut feed_messages = feed_messages(&limited(0, 20), &directory(&[leaf.address], &[]));
-    feed_messages.push(told(-100));
+    feed_messages.push(fleet_usage(-100));
     let broker = start_on(feed_messages, false);
     assert_eq!(statuses(&broker, "/one/", 5), [429; 5]);
     assert!(leaf.requests().is_empty());
 }
 
 #[test]
-fn control_hears_what_came_and_what_was_admitted() {
+fn arrivals_and_admissions_are_reported() {
     let leaf = honest("stamp", b"body");
     let broker = start(&limited(0, 1), &[&leaf]);
     statuses(&broker, "/one/", 5);
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn what_a_lost_link_may_not_have_brought_is_reported_on_the_next() {
+fn unacknowledged_usage_is_reported_again_on_the_next_link() {
     let leaf = honest("stamp", b"body");
     let feed_messages = feed_messages(&limited(0, AMPLE), &directory(&[leaf.address], &[]));
     let broker = start_on(feed_messages, true);
