--- a/crates/broker/tests/reload.rs
+++ b/crates/broker/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the broker runs, with a signal and without one.
+//! Reload of settings, with and without SIGHUP.
 
 mod support;
 
@@ -11,14 +11,14 @@
 use support::routed::{RoutedBroker, configuration, directory, feed_messages, reply};
 use support::wait_until;
 
-/// A control process that tells of this version of the configuration.
+/// Script of a control process that feeds this version of the configuration.
 fn script(version: u64, renews: bool) -> ControlScript {
     let leaf = ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "s", b"x")));
     let mut configuration = configuration(0);
     configuration.version = RouteVersion(version);
     let feed_messages = feed_messages(&configuration, &directory(&[leaf.address], &[]));
     let default = ControlScript::default();
-    // One that renews no more is left soon; one that does has a lease that outlasts its renewals.
+    // Without renewals the short lease makes the broker switch soon; with them the lease is long.
     let lease_milliseconds = if renews { default.lease_milliseconds } else { 1_000 };
     ControlScript { feed_messages, lease_milliseconds, renews, ..default }
 }
@@ -30,7 +30,7 @@
 #[rstest]
 #[case::with_a_signal(true)]
 #[case::without_one(false)]
-fn control_processes_that_new_settings_name_are_asked(#[case] signal: bool) {
+fn control_processes_of_new_settings_are_used(#[case] signal: bool) {
     let broker = RoutedBroker::start_on(script(1, false), "");
     let successor = ScriptedControl::serve_with(&catalog(&[&[closed_address()]]), script(2, true));
     let former = broker.broker.control.address.to_string();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_change_that_needs_a_restart_is_said_and_not_taken_over() {
+fn change_that_needs_a_restart_is_logged_and_not_applied() {
     let broker = RoutedBroker::start_on(script(1, true), "");
     broker.broker.change_settings(|text| text.replace("zone = \"a\"", "zone = \"b\""));
     wait_until("it is said", || {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn settings_that_are_not_usable_change_nothing() {
+fn invalid_settings_are_ignored() {
     let broker = RoutedBroker::start_on(script(1, true), "");
     broker.broker.change_settings(|text| text.replace("control = [", "control = [\"nowhere\", "));
     wait_until("they are refused", || broker.broker.log().contains("event=settings_unusable"));
