--- a/crates/broker/tests/reports.rs
+++ b/crates/broker/tests/reports.rs
@@ -1,4 +1,4 @@
-//! What a broker reports to its control process.
+//! Reports of a broker to its control process.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::wait_until;
 
 #[test]
-fn feed_and_request_keys_name_the_same_run() {
+fn feed_and_request_keys_have_the_same_run() {
     let leaf = ScriptedLeaf::honest("right");
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
     let key = issue_key(broker.caller()).expect("a key");
@@ -25,15 +25,15 @@
     assert_eq!(subscribed, Some(key.run.0));
 }
 
-/// Answered requests and units that were reported, over all classes.
+/// Number of answered queries and of charged units reported, over all classes.
 fn reported(broker: &Broker) -> (u64, u64) {
     let charges = broker.control.charges();
     let counters = charges.values();
     counters.fold((0, 0), |sum, counter| (sum.0 + counter.answered, sum.1 + counter.units))
 }
 
-/// Asks two queries of price 8 and three of price 2.
-fn ask_five(broker: &Broker) {
+/// Sends two queries of price 8 and three of price 2.
+fn send_five_queries(broker: &Broker) {
     let mut caller = broker.caller();
     for class in ["urgent", "whole", "urgent", "whole", "whole"] {
         assert_eq!(caller.ask(&Query::new(class)).outcome(), "answered");
@@ -44,15 +44,15 @@
 fn answered_queries_are_reported_while_the_broker_runs() {
     let leaf = ScriptedLeaf::honest("right");
     let broker = Broker::start(&catalog(&[&[leaf.address]]));
-    ask_five(&broker);
+    send_five_queries(&broker);
     wait_until("all charges are reported", || reported(&broker) == (5, 22));
 }
 
 #[test]
-fn a_planned_stop_reports_the_last_charges() {
+fn planned_stop_reports_the_last_charges() {
     let leaf = ScriptedLeaf::honest("right");
     let mut broker = Broker::start(&catalog(&[&[leaf.address]]));
-    ask_five(&broker);
+    send_five_queries(&broker);
     broker.signal(Signal::TERM);
     broker.assert_ends_well();
     assert_eq!(reported(&broker), (5, 22));
@@ -60,21 +60,21 @@
 }
 
 #[test]
-fn a_planned_stop_ends_although_no_receipt_comes() {
+fn planned_stop_ends_without_an_acknowledgement() {
     let leaf = ScriptedLeaf::honest("right");
     let control = ScriptedControl::serve_with(
         &catalog(&[&[leaf.address]]),
         ControlScript { receipts: false, ..ControlScript::default() },
     );
     let mut broker = Broker::start_on(control, "");
-    ask_five(&broker);
+    send_five_queries(&broker);
     broker.signal(Signal::TERM);
     broker.assert_ends_well();
     assert!(broker.log().contains("charges_not_recorded"), "{}", broker.log());
 }
 
 #[test]
-fn a_threshold_of_the_control_process_shuts_lower_classes_out_and_is_reported() {
+fn threshold_refuses_lower_classes_and_the_refusals_are_reported() {
     let leaf = ScriptedLeaf::honest("right");
     let script = ControlScript { lowest_admitted: 0, ..ControlScript::default() };
     let control = ScriptedControl::serve_with(&catalog(&[&[leaf.address]]), script);
