--- a/crates/broker/tests/rollouts.rs
+++ b/crates/broker/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Which leaves a broker process asks while a service moves to another software version, and what it reports.
+//! Choice of leaves during a roll-out of a software version, and the reports on it.
 
 mod support;
 
@@ -19,10 +19,10 @@
 use support::routed::{RoutedBroker, SINGLE, configuration, directory, feed_messages, honest};
 use support::wait_until;
 
-/// Requests by which a share shows.
+/// Number of requests from which a traffic share is estimated.
 const REQUESTS: usize = 40;
 
-/// The list, whose second leaf of `single` runs another version than the first.
+/// A directory in which the second leaf of `single` runs the target version.
 fn two_versions(present: &ScriptedLeaf, target: &ScriptedLeaf) -> LeafDirectory {
     let listed = directory(&[present.address, target.address], &[]);
     let version = |leaf: &ListedLeaf| {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A step to a stage. The roll-out is the first change after those of the scripted catalog.
+/// A step to a stage. The roll-out is the first change after the scripted catalog.
 fn step(stage: RolloutStage) -> Change {
     let before = support::control::catalog(&[&[support::closed_address()]]).revision();
     let begun = Revision(before.0 + 1);
@@ -61,7 +61,7 @@
     target: ScriptedLeaf,
 }
 
-/// A broker that knows a roll-out at the end of these stages before it knows any leaf.
+/// A broker that has a roll-out after these stages in force before any leaf is known.
 fn scene(stages: &[RolloutStage], target: ScriptedLeaf, script: ControlScript) -> Scene {
     let present = honest("stamp", b"present");
     let feed_messages = feed_messages(&configuration(0), &two_versions(&present, &target));
@@ -80,9 +80,9 @@
 
 const ALL: RolloutStage = RolloutStage::Trial { share: PartsPerMillion(1_000_000) };
 const HALF: RolloutStage = RolloutStage::Trial { share: PartsPerMillion(500_000) };
-const TAKEN_BACK: RolloutStage = RolloutStage::RolledBack(RollBackCause::Failing);
+const ROLLED_BACK: RolloutStage = RolloutStage::RolledBack(RollBackCause::Failing);
 
-/// How many of the requests the leaf of the version answers.
+/// Number of requests answered by the leaf of the target version.
 fn answered_by_target(scene: &Scene) -> usize {
     let answers = (0..REQUESTS).map(|_| scene.broker.get("/one/").body);
     answers.filter(|body| body == "target").count()
@@ -91,11 +91,11 @@
 #[rstest]
 #[case::moving(&[RolloutStage::Moving], REQUESTS..=REQUESTS)]
 #[case::completed(&[RolloutStage::Moving, RolloutStage::Completed], REQUESTS..=REQUESTS)]
-#[case::rolled_back(&[TAKEN_BACK], 0..=0)]
-#[case::rolled_back_from_moving(&[RolloutStage::Moving, TAKEN_BACK], 0..=0)]
+#[case::rolled_back(&[ROLLED_BACK], 0..=0)]
+#[case::rolled_back_from_moving(&[RolloutStage::Moving, ROLLED_BACK], 0..=0)]
 #[case::whole_trial(&[ALL], REQUESTS..=REQUESTS)]
 #[case::half(&[HALF], 6..=34)]
-fn requests_go_where_the_stage_says(
+fn stage_decides_the_share_of_requests(
     #[case] stages: &[RolloutStage],
     #[case] expected: std::ops::RangeInclusive<usize>,
 ) {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_failure_of_the_version_is_made_up_for_by_a_present_leaf() {
+fn failure_of_the_target_is_retried_on_a_present_leaf() {
     let failing = ScriptedLeaf::for_all(|request| {
         let id = request.header("gingerkeel-request-id");
         LeafAction::Send(response(500, &format!("gingerkeel-request-id: {id}\r\n"), b"fault"))
@@ -123,7 +123,7 @@
 fn without_a_lease_a_version_on_trial_gets_nothing() {
     let script = ControlScript { lease_milliseconds: 700, renews: false, ..Default::default() };
     let scene = scene(&[ALL], good(), script);
-    // Beyond the only lease, whenever it was granted.
+    // Longer than the only lease.
     std::thread::sleep(std::time::Duration::from_millis(2_000));
     let before = scene.target.requests().len();
     for _ in 0..5 {
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn a_verdict_counts_for_connections_that_are_open() {
+fn rollback_applies_to_open_connections() {
     let script = ControlScript {
-        later_changes: BTreeMap::from([(3, vec![step(TAKEN_BACK)])]),
+        later_changes: BTreeMap::from([(3, vec![step(ROLLED_BACK)])]),
         ..Default::default()
     };
     let scene = scene(&[RolloutStage::Moving], good(), script);
@@ -154,7 +154,7 @@
     assert_eq!(scene.target.requests().len(), before);
 }
 
-/// What the broker reported so far.
+/// Evidence reported so far.
 fn reported(scene: &Scene) -> Evidence {
     let mut sum = Evidence::default();
     for message in scene.broker.broker.control.received() {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn answers_of_both_versions_are_reported_once_each() {
+fn answers_of_both_versions_are_reported_once() {
     let scene = scene(&[HALF], good(), ControlScript::default());
     answered_by_target(&scene);
     wait_until("all is reported", || reported(&scene).requests == REQUESTS as u64);
@@ -185,8 +185,8 @@
 }
 
 #[test]
-fn nothing_is_reported_once_it_is_decided() {
-    let scene = scene(&[TAKEN_BACK], good(), ControlScript::default());
+fn decided_rollout_is_not_reported() {
+    let scene = scene(&[ROLLED_BACK], good(), ControlScript::default());
     answered_by_target(&scene);
     std::thread::sleep(std::time::Duration::from_millis(800));
     assert_eq!(reported(&scene), Evidence::default());
