--- a/crates/broker/tests/settings.rs
+++ b/crates/broker/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that are wrong: the error names file, field, value and remedy, and nothing starts.
+//! Invalid settings: the error names file, field, value and remedy, and the broker does not start.
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -6,7 +6,7 @@
 
 use rstest::rstest;
 
-/// Settings that are right.
+/// Valid settings.
 const VALID: &str = "name = \"b1\"\nregion = \"south\"\nzone = \"a\"\nlisten = \"LISTEN\"\n\
                      control = [\"127.0.0.1:1\"]\n";
 
@@ -26,7 +26,7 @@
         .expect("the program starts")
 }
 
-/// A line that replaces the one of the same field, or is added, and what the error has to name.
+/// Each case has a line that replaces that of its field, or is added, and what the error must name.
 #[rstest]
 #[case::name("name = \"1b\"", &["field name", "`1b`", "use a letter"])]
 #[case::empty_name("name = \"\"", &["field name", "``", "use a letter"])]
@@ -50,7 +50,7 @@
 #[case::seed("seed = 1.5", &["seed", "1.5", "correct the field"])]
 #[case::unknown_field("colour = \"red\"", &["colour", "unknown field", "correct the field"])]
 #[case::not_toml("name = ", &["line 1", "correct the field"])]
-fn a_wrong_field_is_named_with_its_value_and_the_remedy(
+fn invalid_field_is_named_with_its_value_and_the_remedy(
     #[case] line: &str,
     #[case] expected: &[&str],
 ) {
@@ -61,7 +61,7 @@
     assert_refused(&output, expected);
 }
 
-/// A field of the serving of routes, and what the error has to name.
+/// Each case has a line of the section `routes`, and what the error must name.
 #[rstest]
 #[case::reuse("address_reuse_ms = 0", &["field routes.address_reuse_ms", "`0`", "from 1 to 600000"])]
 #[case::lag("list_lag_ms = 1000", &["field routes.list_lag_ms", "`1000`", "from routes.address_reuse_ms"])]
@@ -69,7 +69,7 @@
 #[case::quota_overshoot("quota_overshoot = -0.1", &["field routes.quota_overshoot", "`-0.1`", "a share from 0"])]
 #[case::quota_slack("quota_slack = nan", &["field routes.quota_slack", "`NaN`", "a number from 0"])]
 #[case::ratio("extra_ratio = 1.5", &["field routes.extra_ratio", "`1.5`", "a share from 0 to 1"])]
-fn a_wrong_field_of_routes_is_named_with_its_value_and_the_remedy(
+fn invalid_field_of_routes_is_named_with_its_value_and_the_remedy(
     #[case] line: &str,
     #[case] expected: &[&str],
 ) {
@@ -79,7 +79,7 @@
 }
 
 #[rstest]
-fn a_missing_field_is_named(#[values("name", "region", "zone", "listen", "control")] field: &str) {
+fn missing_field_is_named(#[values("name", "region", "zone", "listen", "control")] field: &str) {
     let others = VALID.lines().filter(|line| !line.starts_with(&format!("{field} =")));
     let text = others.collect::<Vec<_>>().join("\n");
     let output = run(&text.replace("LISTEN", &free_address().to_string()), &[]);
@@ -96,12 +96,12 @@
 }
 
 #[test]
-fn wrong_settings_fail_the_check_too() {
+fn invalid_settings_fail_the_check() {
     assert_refused(&run("name = \"b1\"", &["--check-settings"]), &["missing field"]);
 }
 
 #[test]
-fn an_address_that_is_taken_is_said_with_another_exit_code() {
+fn address_in_use_has_its_own_exit_code() {
     let holder = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = holder.local_addr().expect("a bound address");
     let output = run(&VALID.replace("LISTEN", &address.to_string()), &[]);
