--- a/crates/broker/tests/tenants.rs
+++ b/crates/broker/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants: who is let in, and what leaves learn of who calls.
+//! Authentication of tenants, and the caller's identity as forwarded to leaves.
 
 mod support;
 
@@ -19,9 +19,9 @@
 
 /// A key of the tenant `kiosk`.
 const KEY: &str = "k-3f9c81d2";
-/// One that no tenant holds.
+/// A key of no tenant.
 const UNKNOWN_KEY: &str = "k-unheld77";
-/// What a caller says of itself, which nobody believes.
+/// A forged identity field, which the broker must not forward.
 const FORGED: &str = "Gingerkeel-Tenant: forged\r\n";
 
 fn tenant(name: &str, keys: &[&str]) -> Tenant {
@@ -34,7 +34,7 @@
     }
 }
 
-/// The usual routes, with two tenants; `/one/` is public where that is asked for.
+/// The usual routes with two tenants; `/one/` is public if `one_is_public`.
 fn with_tenants(shards: usize, one_is_public: bool) -> RouteConfiguration {
     let mut configuration = configuration(shards);
     configuration.tenants = vec![tenant("depot", &["k-depot"]), tenant("kiosk", &["k-old", KEY])];
@@ -50,7 +50,7 @@
     format!("{start} HTTP/1.1\r\nHost: h\r\ngingerkeel-request-id: r1\r\n{fields}\r\n")
 }
 
-/// Asserts that leaves got requests that name the tenant and tell nothing else of the caller.
+/// Asserts that forwarded requests name the tenant and have no other data of the caller.
 fn assert_named(requests: &[LeafRequest], tenant: &str) {
     assert!(!requests.is_empty());
     for request in requests {
@@ -70,7 +70,7 @@
 #[case::more_space(format!("Authorization:  Bearer   {KEY} \r\n"), "kiosk")]
 #[case::beside_another_scheme(format!("Authorization: Basic eDp5\r\n{}", authorization(KEY)), "kiosk")]
 #[case::twice_forged(format!("{FORGED}{}gingerkeel-TENANT: forged\r\n", authorization(KEY)), "kiosk")]
-fn a_key_names_its_tenant_to_leaves(#[case] fields: String, #[case] tenant: &str) {
+fn tenant_of_a_key_is_forwarded_to_leaves(#[case] fields: String, #[case] tenant: &str) {
     let leaf = honest("stamp", b"body");
     let routes = with_tenants(0, false);
     let broker = RoutedBroker::start_with(&routes, &directory(&[leaf.address], &[]));
@@ -91,7 +91,7 @@
 #[case::two_keys(format!("{}{}", authorization(KEY), authorization("k-depot")))]
 #[case::name_as_key(authorization("kiosk"))]
 #[case::no_text("Authorization: Bearer \u{fffd}\r\n".to_owned())]
-fn without_a_known_key_a_request_is_refused_and_reaches_no_leaf(#[case] fields: String) {
+fn request_without_a_known_key_is_refused_and_reaches_no_leaf(#[case] fields: String) {
     let leaf = honest("stamp", b"body");
     let routes = with_tenants(0, false);
     let broker = RoutedBroker::start_with(&routes, &directory(&[leaf.address], &[]));
@@ -113,7 +113,7 @@
     "Content-Length: 900\r\n",
     "GET /one/ HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer k-depot\r\n\r\n"
 )]
-fn a_body_without_a_known_key_is_not_waited_for(#[case] framing: &str, #[case] begun: &str) {
+fn body_without_a_known_key_is_not_awaited(#[case] framing: &str, #[case] begun: &str) {
     let leaf = honest("stamp", b"body");
     let routes = with_tenants(0, false);
     let broker = RoutedBroker::start_with(&routes, &directory(&[leaf.address], &[]));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn where_no_tenants_are_named_the_fields_of_callers_go_on() {
+fn identity_fields_are_forwarded_without_configured_tenants() {
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn nobody_is_refused_for_a_key_while_no_configuration_is_known() {
+fn no_key_is_refused_without_a_configuration() {
     let broker = RoutedBroker::start_on(ControlScript::default(), "start_wait_ms = 100\n");
     let mut caller = broker.caller();
     let fields = format!("{}Content-Length: 4\r\n", authorization(KEY));
@@ -207,18 +207,18 @@
     }
 }
 
-/// A configuration as control tells it.
-fn told(configuration: &RouteConfiguration) -> FeedMessage {
+/// Feed message with a configuration.
+fn routes_message(configuration: &RouteConfiguration) -> FeedMessage {
     let document = pack_document(configuration).expect("a document");
     FeedMessage::Routes { configuration: Document::from(document) }
 }
 
 #[test]
-fn a_changed_configuration_counts_on_open_connections_and_leaves_requests_under_way_alone() {
+fn changed_configuration_applies_to_open_connections_but_not_to_requests_in_flight() {
     let count = AtomicUsize::new(0);
     let leaf = ScriptedLeaf::for_all(move |request| {
         if count.fetch_add(1, Ordering::SeqCst) == 0 {
-            // Longer than until the key is revoked.
+            // Longer than the time until the key is revoked.
             std::thread::sleep(Duration::from_millis(2_500));
         }
         LeafAction::Send(reply(request, "stamp", b"body"))
@@ -228,7 +228,7 @@
     second.version = RouteVersion(2);
     second.tenants = vec![tenant("depot", &["k-depot", "k-new"])];
     let list = directory(&[leaf.address], &[]);
-    let later_messages = BTreeMap::from([(2, vec![told(&second)])]);
+    let later_messages = BTreeMap::from([(2, vec![routes_message(&second)])]);
     let script = ControlScript {
         feed_messages: feed_messages(&first, &list),
         later_messages,
@@ -250,7 +250,7 @@
     assert_eq!(under_way.receive().expect("an answer").status, 200);
 }
 
-/// The usual routes, with one tenant that is served in these regions only.
+/// The usual routes with a tenant that is bound to a region.
 fn bound_to(tenant_region: &str, route_region: Option<&str>) -> RouteConfiguration {
     let mut configuration = with_tenants(0, false);
     configuration.tenants[1].allowed_regions = RegionPolicy::only([RegionName::new(tenant_region)]);
@@ -270,7 +270,7 @@
     let failing = ScriptedLeaf::for_all(|_| {
         LeafAction::Send(response(500, "gingerkeel-request-id: r1\r\n", b""))
     });
-    // Its zone is in no region that the settings name.
+    // The zone of this leaf has no region in the settings.
     let elsewhere = honest("elsewhere", b"elsewhere");
     let list = directory(&[failing.address, elsewhere.address], &[]);
     let broker = RoutedBroker::start_with(&bound_to(tenant_region, route_region), &list);
@@ -303,7 +303,7 @@
 #[rstest]
 #[case::no_leaf_in_its_region("north", None)]
 #[case::no_region_in_common("south", Some("north"))]
-fn where_no_region_is_left_a_request_is_refused_at_once(
+fn request_without_an_allowed_region_is_refused_at_once(
     #[case] tenant_region: &str,
     #[case] route_region: Option<&str>,
 ) {
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn refusals_are_counted_and_no_key_is_logged_or_shown() {
+fn refusals_are_counted_and_keys_are_not_logged() {
     let leaf = honest("stamp", b"body");
     let settings = "metrics = \"127.0.0.1:0\"\nlog_sample = 1\n";
     let script = ControlScript {
