--- a/crates/broker/tests/routes.rs
+++ b/crates/broker/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes served by a broker process over scripted leaves.
+//! Routes served by a broker process with scripted leaves.
 
 mod support;
 
@@ -20,7 +20,7 @@
 };
 use support::{closed_address, wait_until};
 
-/// A leaf that does this with its first request and answers the others.
+/// A leaf with a scripted action on its first request; it answers the others.
 fn first(
     act: impl Fn(&support::leaf::LeafRequest) -> LeafAction + Send + Sync + 'static,
 ) -> ScriptedLeaf {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_is_forwarded_unaltered_but_for_what_concerns_one_connection() {
+fn request_is_forwarded_without_hop_by_hop_fields() {
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let answer = broker.get("/one/a%20b?x=1&y");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_body_arrives_whole_however_it_was_framed() {
+fn body_is_forwarded_with_any_framing() {
     let leaf = honest("stamp", b"");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -78,7 +78,7 @@
     400
 )]
 #[case::large_declared("POST /one/ HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n", 413)]
-fn bad_input_gets_a_clear_refusal_and_reaches_no_leaf(#[case] text: &str, #[case] status: u16) {
+fn invalid_input_is_refused_and_reaches_no_leaf(#[case] text: &str, #[case] status: u16) {
     let leaf = honest("stamp", b"");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_large_head_and_a_large_chunked_body_are_refused() {
+fn oversized_head_and_oversized_chunked_body_are_refused() {
     let leaf = honest("stamp", b"");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -116,7 +116,7 @@
 #[case::cut_short(Some(b"HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\ncontent-length: 9\r\n\r\nabc".to_vec()))]
 #[case::of_another_request(Some(response(200, "gingerkeel-request-id: other\r\n", b"not ours")))]
 #[case::nameless(Some(response(200, "", b"not ours")))]
-fn a_repeatable_request_goes_to_another_leaf(#[case] bytes: Option<Vec<u8>>) {
+fn repeatable_request_is_retried_on_another_leaf(#[case] bytes: Option<Vec<u8>>) {
     let bad =
         ScriptedLeaf::for_all(move |_| LeafAction::SendAndClose(bytes.clone().unwrap_or_default()));
     let good = honest("good", b"good");
@@ -130,7 +130,7 @@
 #[case::lost(b"".to_vec(), 502)]
 #[case::no_answer(b"nonsense\r\n\r\n".to_vec(), 502)]
 #[case::failure(response(500, "gingerkeel-request-id: r1\r\n", b"its own"), 500)]
-fn one_that_is_not_repeatable_runs_at_most_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
+fn non_repeatable_request_runs_at_most_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
     let bad = ScriptedLeaf::for_all(move |_| LeafAction::SendAndClose(bytes.clone()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[bad.address, good.address], &[]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn one_that_certainly_has_not_run_may_go_to_another_leaf() {
+fn request_that_has_not_run_is_retried_on_another_leaf() {
     let full = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[full.address, good.address], &[]);
@@ -151,7 +151,7 @@
 #[rstest]
 #[case::repeatable("/one/")]
 #[case::once("/once/")]
-fn a_leaf_that_was_full_for_a_while_is_asked_again(#[case] path: &str) {
+fn leaf_that_was_full_is_retried(#[case] path: &str) {
     let asked = AtomicUsize::new(0);
     let leaf = ScriptedLeaf::for_all(move |request| match asked.fetch_add(1, Ordering::SeqCst) {
         0..3 => LeafAction::Send(rejection()),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn shards_that_were_full_for_a_while_do_not_cost_an_answer_that_needs_all() {
+fn shards_that_were_full_do_not_fail_a_complete_gather() {
     let full_at_first = || {
         let asked = AtomicUsize::new(0);
         ScriptedLeaf::for_all(move |request| match asked.fetch_add(1, Ordering::SeqCst) {
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn when_every_leaf_refuses_the_caller_is_told_that_nothing_ran_and_when_to_come_back() {
+fn rejection_by_all_leaves_is_refused_with_a_retry_after() {
     let full = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let broker = RoutedBroker::start(&[full.address], &[]);
     let answer = broker.get("/once/");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_passed_over() {
+fn reply_to_another_request_is_skipped() {
     let leaf = ScriptedLeaf::for_all(|request| {
         let stray = response(200, "gingerkeel-request-id: stray\r\n", b"of another");
         LeafAction::Send([stray, reply(request, "own", b"own")].concat())
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn bytes_after_an_answer_belong_to_no_request() {
+fn connection_with_bytes_after_a_reply_is_not_reused() {
     let leaf = first(|request| {
         LeafAction::Send(
             [reply(request, "own", b"own"), reply(request, "extra", b"extra")].concat(),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_reply_that_ends_with_its_connection_is_relayed_whole() {
+fn reply_delimited_by_close_is_relayed_completely() {
     let leaf = ScriptedLeaf::for_all(|_| {
         LeafAction::SendAndClose(
             b"HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\n\r\nuntil the end".to_vec(),
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_head_alone_is_relayed_with_the_length_that_it_states() {
+fn reply_to_head_is_relayed_with_its_content_length() {
     let leaf = ScriptedLeaf::for_all(|request| {
         let whole = reply(request, "s", b"12345");
         let head = if request.head.starts_with("HEAD") { whole.len() - 5 } else { whole.len() };
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_long_reply_that_is_cut_short_does_not_look_complete() {
+fn truncated_long_reply_does_not_look_complete() {
     let leaf = ScriptedLeaf::for_all(|_| {
         let head = "HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\ncontent-length: 300000\r\n\r\n";
         LeafAction::SendAndClose([head.as_bytes(), &[b'x'; 200_000]].concat())
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn a_long_reply_is_relayed_whole() {
+fn long_reply_is_relayed_completely() {
     let leaf =
         ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "s", &[b'x'; 300_000])));
     let broker = RoutedBroker::start(&[leaf.address], &[]);
@@ -299,7 +299,7 @@
 )))]
 #[case::unattested(Some(response(200, "gingerkeel-request-id: r1\r\n", &[1; 16])))]
 #[case::full(Some(rejection()))]
-fn a_missing_part_is_counted_and_never_merged(#[case] bytes: Option<Vec<u8>>) {
+fn missing_part_is_counted_and_not_merged(#[case] bytes: Option<Vec<u8>>) {
     let bad = ScriptedLeaf::for_all(move |_| match &bytes {
         Some(bytes) => LeafAction::Send(bytes.clone()),
         None => LeafAction::NoReply,
@@ -312,7 +312,8 @@
     assert_eq!(answer.header("gingerkeel-missing-parts"), Some("1"));
 }
 
-/// Two of three shards give no part. Only where the third did not run the request either is it "not run".
+/// Two of three shards are unreachable. The response is "not run" only if the third shard did not
+/// run the request either.
 #[rstest]
 #[case::one_ran_it(Some(honest("good", b"0123456789abcdef")), 502)]
 #[case::one_failed(Some(failing(500)), 502)]
@@ -322,9 +323,9 @@
     #[case] third: Option<ScriptedLeaf>,
     #[case] status: u16,
 ) {
-    let deaf = [closed_address()];
+    let closed = [closed_address()];
     let third = [third.as_ref().map_or_else(closed_address, |leaf| leaf.address)];
-    let broker = RoutedBroker::start(&[], &[&third, &deaf, &deaf]);
+    let broker = RoutedBroker::start(&[], &[&third, &closed, &closed]);
     let answer = broker.get("/all/");
     assert_eq!(answer.status, status);
     assert_eq!(answer.header("retry-after").is_some(), status == 503);
@@ -338,7 +339,7 @@
 }
 
 #[test]
-fn requests_beyond_the_connections_of_a_leaf_wait_for_one() {
+fn requests_beyond_the_connection_limit_wait_for_a_connection() {
     let leaf = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(20));
         LeafAction::Send(reply(request, "s", b"x"))
@@ -353,7 +354,7 @@
 }
 
 #[test]
-fn a_silent_leaf_is_made_up_for_by_another_within_the_attempts() {
+fn unresponsive_leaf_is_hedged_within_the_attempts() {
     let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[silent.address, good.address], &[]);
@@ -362,7 +363,7 @@
 }
 
 #[test]
-fn the_time_of_the_route_or_the_caller_ends_a_request() {
+fn deadline_of_the_caller_ends_a_request() {
     let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
@@ -371,7 +372,7 @@
 }
 
 #[test]
-fn when_the_caller_leaves_the_leaf_connection_is_closed() {
+fn caller_disconnect_closes_the_leaf_connection() {
     let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
@@ -383,7 +384,7 @@
     });
 }
 
-/// Whether the process holds a connection to this port.
+/// Whether the process has a connection to this port.
 fn established(process: u32, port: u16) -> bool {
     let table = std::fs::read_to_string(format!("/proc/{process}/net/tcp")).expect("a table");
     let remote = format!(":{port:04X} 01");
@@ -391,7 +392,7 @@
 }
 
 #[test]
-fn a_broker_that_knows_nothing_is_not_ready_and_says_when_to_come_back() {
+fn broker_without_configuration_is_not_ready_and_sends_a_retry_after() {
     let broker = RoutedBroker::start_on(ControlScript::default(), "");
     assert_eq!(broker.ready(), 503);
     let answer = broker.get("/one/");
@@ -403,7 +404,7 @@
 #[case::held_until_it_serves("start_wait_ms = 3000", 200, 0..1_900)]
 #[case::at_once("start_wait_ms = 0", 503, 0..150)]
 #[case::no_longer_than_set("start_wait_ms = 200", 503, 200..600)]
-fn a_request_that_comes_while_nothing_is_known_yet_is_held(
+fn request_is_held_until_the_configuration_is_known(
     #[case] setting: &str,
     #[case] status: u16,
     #[case] milliseconds: Range<u128>,
@@ -423,7 +424,7 @@
 }
 
 #[test]
-fn a_rush_beyond_what_the_leaf_works_on_at_once_is_served_one_after_the_other() {
+fn burst_beyond_the_concurrency_of_a_leaf_is_queued() {
     let leaf = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(20));
         LeafAction::Send(reply(request, "s", b"x"))
@@ -443,7 +444,10 @@
 #[rstest]
 #[case::refuse("", 503)]
 #[case::serve("out_of_touch = \"serve\"", 200)]
-fn what_is_done_out_of_touch_is_a_setting(#[case] setting: &str, #[case] status: u16) {
+fn requests_without_a_lease_follow_the_out_of_touch_setting(
+    #[case] setting: &str,
+    #[case] status: u16,
+) {
     let leaf = honest("s", b"x");
     let feed_messages = feed_messages(&configuration(0), &directory(&[leaf.address], &[]));
     let script = ControlScript {
@@ -461,7 +465,7 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_is_in_flight_and_what_still_arrives() {
+fn planned_stop_finishes_requests_in_flight_and_late_arrivals() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(600));
         LeafAction::Send(reply(request, "s", b"whole"))
@@ -483,9 +487,9 @@
     broker.broker.assert_ends_well();
 }
 
-/// Asks on one connection after the other, or on one for as long as it is kept, until the broker
-/// takes no connection any more; gives the status of each answer, and 0 for a request that got none.
-fn ask_until_gone(broker: SocketAddr, path: &str) -> Vec<u16> {
+/// Sends requests until the broker accepts no more connections, on one connection for as long as it
+/// is kept open. Returns the status of each response, and 0 for a request without one.
+fn send_until_closed(broker: SocketAddr, path: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     while let Some(mut caller) = Caller::try_connect(broker) {
         loop {
@@ -493,8 +497,8 @@
             let answer = caller.receive();
             let status = answer.as_ref().map_or(0, |answer| answer.status);
             let refused = answer.as_ref().is_some_and(|answer| answer.status == 503);
-            let come_back = answer.as_ref().and_then(|answer| answer.header("retry-after"));
-            assert!(!refused || come_back.is_some(), "a refusal says when to come back");
+            let retry_after = answer.as_ref().and_then(|answer| answer.header("retry-after"));
+            assert!(!refused || retry_after.is_some(), "a refusal has a retry-after");
             statuses.push(status);
             if refused {
                 sleep(Duration::from_millis(10));
@@ -513,7 +517,7 @@
 #[case::slow_and_not_repeatable(150, "/once/", 1)]
 #[case::slow_with_many_callers(150, "/one/", 6)]
 #[case::slower_than_the_stop(2_500, "/once/", 2)]
-fn callers_that_go_on_asking_until_the_end_of_a_planned_stop_lose_no_answer(
+fn callers_active_during_a_planned_stop_lose_no_answer(
     #[case] leaf_ms: u64,
     #[case] path: &'static str,
     #[case] callers: usize,
@@ -525,26 +529,30 @@
     let mut broker = RoutedBroker::start(&[leaf.address], &[]);
     let routes = broker.routes;
     let asking: Vec<_> =
-        (0..callers).map(|_| spawn(move || ask_until_gone(routes, path))).collect();
+        (0..callers).map(|_| spawn(move || send_until_closed(routes, path))).collect();
     wait_until("the leaf has requests", || !leaf.requests().is_empty());
     broker.broker.signal(Signal::TERM);
-    // A second word of the same changes nothing.
+    // A second signal has no effect.
     sleep(Duration::from_millis(300));
     broker.broker.signal(Signal::TERM);
     let statuses: Vec<Vec<u16>> =
         asking.into_iter().map(|asking| asking.join().expect("no panic")).collect();
     for answered in &statuses {
-        // The last connection may have come just before the listener was gone, unread.
+        // The last connection may still be unread when the listener closes.
         let (_, read) = answered.split_last().expect("requests");
-        assert!(!read.contains(&0), "a request was cut: {statuses:?}");
+        assert!(!read.contains(&0), "a request got no response: {statuses:?}");
     }
     let answered = statuses.iter().flatten().filter(|status| ![0, 503].contains(*status));
-    assert_eq!(leaf.requests().len(), answered.count(), "passed on and cut: {statuses:?}");
+    assert_eq!(
+        leaf.requests().len(),
+        answered.count(),
+        "forwarded without a response: {statuses:?}"
+    );
     broker.broker.assert_ends_well();
 }
 
 #[test]
-fn the_word_of_changed_settings_does_not_end_the_process() {
+fn sighup_does_not_end_the_process() {
     let leaf = honest("s", b"x");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     broker.broker.signal(Signal::HUP);
