--- a/crates/broker/tests/routes.rs
+++ b/crates/broker/tests/routes.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn request_is_forwarded_without_hop_by_hop_fields() {
+fn request_is_forwarded_unaltered_except_for_hop_by_hop_fields() {
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let answer = broker.get("/one/a%20b?x=1&y");
--- a/crates/broker/tests/tenants.rs
+++ b/crates/broker/tests/tenants.rs
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn no_key_is_refused_without_a_configuration() {
+fn request_is_not_refused_for_its_key_without_a_configuration() {
     let broker = RoutedBroker::start_on(ControlScript::default(), "start_wait_ms = 100\n");
     let mut caller = broker.caller();
     let fields = format!("{}Content-Length: 4\r\n", authorization(KEY));
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn refusals_are_counted_and_keys_are_not_logged() {
+fn refusals_are_counted_and_keys_are_not_exposed() {
     let leaf = honest("stamp", b"body");
     let settings = "metrics = \"127.0.0.1:0\"\nlog_sample = 1\n";
     let script = ControlScript {
--- a/crates/transport/tests/http1.rs
+++ b/crates/transport/tests/http1.rs
@@ -60,7 +60,7 @@
 #[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Err(HeadError::Framing))]
 #[case("Content-Length: +1\r\n", Err(HeadError::Framing))]
 #[case("Content-Length: 99999999999999999999999\r\n", Err(HeadError::Framing))]
-fn a_request_with_ambiguous_framing_is_an_error(
+fn the_framing_of_a_request_follows_from_its_length_fields(
     #[case] fields: &str,
     #[case] expected: Result<BodyFraming, HeadError>,
 ) {
