--- a/crates/broker/src/callers/connection.rs
+++ b/crates/broker/src/callers/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection, owned by a task.
+//! A caller's connection; one task owns it.
 
 use std::time::Duration;
 
@@ -20,25 +20,26 @@
 use super::request::{CallerRequest, read_request};
 use super::response;
 use crate::engine::EngineMessage;
-use crate::stop::StopSignal;
+use crate::latch::Latch;
 
-/// Time for which an idle connection takes a last request once a planned stop has begun.
+/// How long an idle connection still accepts a request after the start of a planned stop.
 const STOP_GRACE: Duration = Duration::from_millis(250);
-/// Time for which a caller that was rejected may go on sending before the connection is closed.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Bytes that a caller that was rejected may go on sending.
+/// How long bytes of the caller are discarded after the last response, before the connection is
+/// closed.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of bytes discarded after the last response.
 const LINGER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Bounds of a caller's connection.
+/// Limits of a caller's connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionBounds {
-    /// Bounds of each request.
+    /// Limits of each request.
     pub limits: Limits,
-    /// Time for which the connection may lie idle between requests.
+    /// Idle timeout between requests.
     pub idle_time: Duration,
 }
 
-/// One caller's connection.
+/// A caller's connection and the queries on it.
 pub struct CallerConnection {
     number: u32,
     next_query: u32,
@@ -46,37 +47,37 @@
     writer: ResponseWriter,
     bounds: ConnectionBounds,
     engine: Tx<EngineMessage>,
-    stop: StopSignal,
+    stop: Latch,
 }
 
-/// What becomes of a connection after an answer.
+/// Whether a connection stays open after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum After {
+enum AfterResponse {
     KeepAlive,
     Close,
 }
 
 impl CallerConnection {
-    /// Takes over an accepted socket; `number` is unique within the broker run.
+    /// Wraps an accepted socket; `number` is unique within the broker run.
     pub fn new(
         number: u32,
         stream: TcpStream,
         bounds: ConnectionBounds,
         engine: Tx<EngineMessage>,
-        stop: StopSignal,
+        stop: Latch,
     ) -> Self {
         let (reader, writer) = ServerConnection::new(stream, bounds.limits).into_split();
         Self { number, next_query: 0, reader, writer, bounds, engine, stop }
     }
 
-    /// Answers requests until the caller hangs up, stays idle for too long, sends something that is
-    /// not HTTP, or a planned stop has begun.
+    /// Serves requests until the caller disconnects, the idle timeout expires, a request is invalid
+    /// HTTP, or a planned stop begins.
     pub async fn run(mut self) {
-        while self.request_comes().await {
+        while self.await_request().await {
             match self.reader.next_request().await {
-                Ok(Some(request)) => match self.answer(request).await {
-                    Ok(After::KeepAlive) => {}
-                    Ok(After::Close) => return self.linger().await,
+                Ok(Some(request)) => match self.handle_request(request).await {
+                    Ok(AfterResponse::KeepAlive) => {}
+                    Ok(AfterResponse::Close) => return self.linger().await,
                     Err(error) => return debug!(event = "caller_gone", %error),
                 },
                 Ok(None) => return,
@@ -85,11 +86,11 @@
         }
     }
 
-    /// Whether the first byte of a request comes in time; an idle connection ends with a planned
-    /// stop.
-    async fn request_comes(&mut self) -> bool {
+    /// Whether the first byte of a request arrives before the idle timeout, or within
+    /// [`STOP_GRACE`] after the start of a planned stop.
+    async fn await_request(&mut self) -> bool {
         let grace = async {
-            self.stop.given().await;
+            self.stop.wait().await;
             sleep(STOP_GRACE).await;
         };
         monoio::select! {
@@ -99,26 +100,29 @@
         }
     }
 
-    async fn answer(&mut self, request: HttpRequest) -> Result<After, TransportError> {
+    async fn handle_request(
+        &mut self,
+        request: HttpRequest,
+    ) -> Result<AfterResponse, TransportError> {
         let last = asks_to_close(&request);
         let response = match read_request(self.next_query_id(), request) {
             Ok(CallerRequest::Query { submission, deadline, body }) => {
                 let outcome = self.run_query(submission, deadline, body).await?;
-                response::answer(&outcome)
+                response::query_response(&outcome)
             }
             Ok(CallerRequest::IssueKey(caller)) => self.issue_key(caller).await?,
             Err(error) => response::bad_request(&error),
         };
-        if last || self.stop.is_given() {
-            self.respond(response::last(response)).await?;
-            return Ok(After::Close);
+        if last || self.stop.is_set() {
+            self.respond(response::with_close(response)).await?;
+            return Ok(AfterResponse::Close);
         }
         self.respond(response).await?;
-        Ok(After::KeepAlive)
+        Ok(AfterResponse::KeepAlive)
     }
 
-    /// Submits a query and awaits its outcome; tells the engine when the caller hangs up. A
-    /// caller that has sent more bytes meanwhile counts as present.
+    /// Submits a query and awaits its outcome; notifies the engine if the caller disconnects. A
+    /// caller that has pipelined more bytes counts as connected.
     async fn run_query(
         &mut self,
         submission: Submission,
@@ -129,15 +133,15 @@
         let (reply, mut outcome) = oneshot::channel();
         // The engine lives as long as the process.
         let _ = self.engine.send(EngineMessage::Submit { submission, deadline, body, reply });
-        let mut watching = true;
+        let mut watches_caller = true;
         loop {
             monoio::select! {
-                answered = &mut outcome => return answered.map_err(|_| TransportError::CutShort),
-                begun = self.reader.wait(), if watching => match begun {
-                    Ok(true) => watching = false,
+                answered = &mut outcome => return answered.map_err(|_| TransportError::ConnectionClosed),
+                begun = self.reader.wait(), if watches_caller => match begun {
+                    Ok(true) => watches_caller = false,
                     Ok(false) | Err(_) => {
                         let _ = self.engine.send(EngineMessage::CallerGone(query));
-                        return Err(TransportError::CutShort);
+                        return Err(TransportError::ConnectionClosed);
                     }
                 }
             }
@@ -148,7 +152,7 @@
         let (reply, issued) = oneshot::channel();
         // The engine lives as long as the process.
         let _ = self.engine.send(EngineMessage::IssueKey { caller, reply });
-        let issued = issued.await.map_err(|_| TransportError::CutShort)?;
+        let issued = issued.await.map_err(|_| TransportError::ConnectionClosed)?;
         Ok(issued.map_or_else(response::refused, |key| response::issued_key(&key)))
     }
 
@@ -156,11 +160,11 @@
         let status = match error {
             TransportError::HeadTooLarge(_) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             TransportError::BodyTooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
-            TransportError::Slow => StatusCode::REQUEST_TIMEOUT,
+            TransportError::TimedOut => StatusCode::REQUEST_TIMEOUT,
             TransportError::Malformed(_) => StatusCode::BAD_REQUEST,
-            TransportError::CutShort | TransportError::Socket(_) => return,
+            TransportError::ConnectionClosed | TransportError::Socket(_) => return,
         };
-        let response = response::last(response::transport_error(status, error));
+        let response = response::with_close(response::transport_error(status, error));
         if self.respond(response).await.is_ok() {
             self.linger().await;
         }
@@ -168,14 +172,17 @@
 
     async fn respond(&mut self, response: HttpResponse) -> Result<(), TransportError> {
         let writing = self.writer.respond(response);
-        timeout(self.bounds.limits.message_time, writing).await.map_err(|_| TransportError::Slow)?
+        timeout(self.bounds.limits.message_time, writing)
+            .await
+            .map_err(|_| TransportError::TimedOut)?
     }
 
-    /// Ends the connection so that the caller can read its answer although it still sends.
+    /// Closes the connection in such a way that a caller that is still sending can read its
+    /// response.
     async fn linger(mut self) {
         if self.writer.close().await.is_ok() {
-            // Once the time is over the connection is closed in any case.
-            let _ = timeout(LINGER_TIME, self.reader.discard(LINGER_BYTES)).await;
+            // The connection is closed after a timeout, too.
+            let _ = timeout(LINGER_TIMEOUT, self.reader.discard(LINGER_BYTES)).await;
         }
     }
 
--- a/crates/broker/src/callers/mod.rs
+++ b/crates/broker/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' connections and the HTTP exchange on them.
+//! Accepts callers' connections and serves HTTP on them.
 
 mod connection;
 mod refusal;
@@ -16,28 +16,28 @@
 use tracing::warn;
 
 use crate::engine::EngineMessage;
-use crate::stop::StopSignal;
+use crate::latch::Latch;
 use connection::{CallerConnection, ConnectionBounds};
-use refusal::{Refuser, Unwelcome};
+use refusal::{ConnectionRefusal, RefusalResponder};
 
-/// Accepts callers' connections.
+/// Listener for callers, with a limit on open connections.
 pub struct CallerServer {
     listener: TcpListener,
     engine: Tx<EngineMessage>,
-    stop: StopSignal,
+    stop: Latch,
     limits: Limits,
     idle_time: Duration,
-    places: Rc<Semaphore>,
-    refuser: Refuser,
+    permits: Rc<Semaphore>,
+    refusal_responder: RefusalResponder,
     next_connection: u32,
 }
 
 impl CallerServer {
-    /// A server on a bound listener.
+    /// Creates a server on a bound listener.
     pub fn new(
         listener: TcpListener,
         engine: Tx<EngineMessage>,
-        stop: StopSignal,
+        stop: Latch,
         settings: &BrokerSettings,
     ) -> Self {
         let limits = Limits {
@@ -51,13 +51,13 @@
             stop,
             limits,
             idle_time: Duration::from_millis(u64::from(settings.idle_time_ms)),
-            places: Rc::new(Semaphore::new(settings.caller_connections as usize)),
-            refuser: Refuser::new(limits),
+            permits: Rc::new(Semaphore::new(settings.caller_connections as usize)),
+            refusal_responder: RefusalResponder::new(limits),
             next_connection: 0,
         }
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections until the process ends.
     pub async fn run(mut self) {
         loop {
             match self.listener.accept().await {
@@ -68,12 +68,12 @@
     }
 
     fn accepted(&mut self, stream: TcpStream) {
-        if self.stop.is_given() {
-            self.refuser.refuse(stream, Unwelcome::Stopping);
+        if self.stop.is_set() {
+            self.refusal_responder.refuse(stream, ConnectionRefusal::Stopping);
             return;
         }
-        let Ok(place) = self.places.clone().try_acquire_owned() else {
-            self.refuser.refuse(stream, Unwelcome::TooMany);
+        let Ok(permit) = self.permits.clone().try_acquire_owned() else {
+            self.refusal_responder.refuse(stream, ConnectionRefusal::TooMany);
             return;
         };
         let number = self.next_connection;
@@ -86,7 +86,7 @@
         let _ = engine.send(EngineMessage::CallerConnected);
         monoio::spawn(async move {
             connection.run().await;
-            drop(place);
+            drop(permit);
             let _ = engine.send(EngineMessage::CallerDisconnected);
         });
     }
--- a/crates/broker/tests/routes.rs
+++ b/crates/broker/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes served by a broker process over scripted leaves.
+//! Routes served by a broker process with scripted leaves.
 
 mod support;
 
@@ -13,23 +13,26 @@
 use rustix::process::Signal;
 use support::caller::Caller;
 use support::control::ControlScript;
-use support::leaf::{Act, ScriptedLeaf, response};
+use support::leaf::{LeafAction, ScriptedLeaf, response};
 use support::routed::{
-    RoutedBroker, configuration, directory, honest, news, records, rejection, reply, request,
+    RoutedBroker, configuration, directory, feed_messages, honest, records, rejection, reply,
+    request,
 };
-use support::{deaf_address, wait_until};
+use support::{closed_address, wait_until};
 
-/// A leaf that does this with its first request and answers the others.
-fn first(act: impl Fn(&support::leaf::LeafRequest) -> Act + Send + Sync + 'static) -> ScriptedLeaf {
+/// A leaf with a scripted action on its first request; it answers the others.
+fn first(
+    act: impl Fn(&support::leaf::LeafRequest) -> LeafAction + Send + Sync + 'static,
+) -> ScriptedLeaf {
     let count = AtomicUsize::new(0);
     ScriptedLeaf::for_all(move |request| match count.fetch_add(1, Ordering::SeqCst) {
         0 => act(request),
-        _ => Act::Send(reply(request, "later", b"later")),
+        _ => LeafAction::Send(reply(request, "later", b"later")),
     })
 }
 
 #[test]
-fn a_request_is_forwarded_unaltered_but_for_what_concerns_one_connection() {
+fn request_is_forwarded_unaltered_except_for_hop_by_hop_fields() {
     let leaf = honest("stamp", b"body");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let answer = broker.get("/one/a%20b?x=1&y");
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn a_body_arrives_whole_however_it_was_framed() {
+fn body_is_forwarded_with_any_framing() {
     let leaf = honest("stamp", b"");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -75,7 +78,7 @@
     400
 )]
 #[case::large_declared("POST /one/ HTTP/1.1\r\nHost: h\r\nContent-Length: 1001\r\n\r\n", 413)]
-fn bad_input_gets_a_clear_refusal_and_reaches_no_leaf(#[case] text: &str, #[case] status: u16) {
+fn invalid_input_is_refused_and_reaches_no_leaf(#[case] text: &str, #[case] status: u16) {
     let leaf = honest("stamp", b"");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn a_large_head_and_a_large_chunked_body_are_refused() {
+fn oversized_head_and_oversized_chunked_body_are_refused() {
     let leaf = honest("stamp", b"");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -113,8 +116,9 @@
 #[case::cut_short(Some(b"HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\ncontent-length: 9\r\n\r\nabc".to_vec()))]
 #[case::of_another_request(Some(response(200, "gingerkeel-request-id: other\r\n", b"not ours")))]
 #[case::nameless(Some(response(200, "", b"not ours")))]
-fn a_repeatable_request_goes_to_another_leaf(#[case] bytes: Option<Vec<u8>>) {
-    let bad = ScriptedLeaf::for_all(move |_| Act::SendAndClose(bytes.clone().unwrap_or_default()));
+fn repeatable_request_is_retried_on_another_leaf(#[case] bytes: Option<Vec<u8>>) {
+    let bad =
+        ScriptedLeaf::for_all(move |_| LeafAction::SendAndClose(bytes.clone().unwrap_or_default()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[bad.address, good.address], &[]);
     let answer = broker.get("/one/");
@@ -126,8 +130,8 @@
 #[case::lost(b"".to_vec(), 502)]
 #[case::no_answer(b"nonsense\r\n\r\n".to_vec(), 502)]
 #[case::failure(response(500, "gingerkeel-request-id: r1\r\n", b"its own"), 500)]
-fn one_that_is_not_repeatable_runs_at_most_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
-    let bad = ScriptedLeaf::for_all(move |_| Act::SendAndClose(bytes.clone()));
+fn non_repeatable_request_runs_at_most_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
+    let bad = ScriptedLeaf::for_all(move |_| LeafAction::SendAndClose(bytes.clone()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[bad.address, good.address], &[]);
     assert_eq!(broker.get("/once/").status, status);
@@ -135,23 +139,23 @@
 }
 
 #[test]
-fn one_that_certainly_has_not_run_may_go_to_another_leaf() {
-    let full = ScriptedLeaf::for_all(|_| Act::Send(rejection()));
+fn request_that_has_not_run_is_retried_on_another_leaf() {
+    let full = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[full.address, good.address], &[]);
     assert_eq!(broker.get("/once/").body, "good");
-    let broker = RoutedBroker::start(&[deaf_address(), good.address], &[]);
+    let broker = RoutedBroker::start(&[closed_address(), good.address], &[]);
     assert_eq!(broker.get("/once/").body, "good");
 }
 
 #[rstest]
 #[case::repeatable("/one/")]
 #[case::once("/once/")]
-fn a_leaf_that_was_full_for_a_while_is_asked_again(#[case] path: &str) {
+fn leaf_that_was_full_is_retried(#[case] path: &str) {
     let asked = AtomicUsize::new(0);
     let leaf = ScriptedLeaf::for_all(move |request| match asked.fetch_add(1, Ordering::SeqCst) {
-        0..3 => Act::Send(rejection()),
-        _ => Act::Send(reply(request, "s", b"x")),
+        0..3 => LeafAction::Send(rejection()),
+        _ => LeafAction::Send(reply(request, "s", b"x")),
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get(path).status, 200);
@@ -159,12 +163,12 @@
 }
 
 #[test]
-fn shards_that_were_full_for_a_while_do_not_cost_an_answer_that_needs_all() {
+fn shards_that_were_full_do_not_fail_a_complete_gather() {
     let full_at_first = || {
         let asked = AtomicUsize::new(0);
         ScriptedLeaf::for_all(move |request| match asked.fetch_add(1, Ordering::SeqCst) {
-            0..3 => Act::Send(rejection()),
-            _ => Act::Send(reply(request, "later", &records(b"a"))),
+            0..3 => LeafAction::Send(rejection()),
+            _ => LeafAction::Send(reply(request, "later", &records(b"a"))),
         })
     };
     let leaves = [full_at_first(), full_at_first()];
@@ -181,8 +185,8 @@
 }
 
 #[test]
-fn when_every_leaf_refuses_the_caller_is_told_that_nothing_ran_and_when_to_come_back() {
-    let full = ScriptedLeaf::for_all(|_| Act::Send(rejection()));
+fn rejection_by_all_leaves_is_refused_with_a_retry_after() {
+    let full = ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()));
     let broker = RoutedBroker::start(&[full.address], &[]);
     let answer = broker.get("/once/");
     assert_eq!(answer.status, 503);
@@ -191,19 +195,21 @@
 }
 
 #[test]
-fn an_answer_to_another_request_is_passed_over() {
+fn reply_to_another_request_is_skipped() {
     let leaf = ScriptedLeaf::for_all(|request| {
         let stray = response(200, "gingerkeel-request-id: stray\r\n", b"of another");
-        Act::Send([stray, reply(request, "own", b"own")].concat())
+        LeafAction::Send([stray, reply(request, "own", b"own")].concat())
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get("/one/").body, "own");
 }
 
 #[test]
-fn bytes_after_an_answer_belong_to_no_request() {
+fn connection_with_bytes_after_a_reply_is_not_reused() {
     let leaf = first(|request| {
-        Act::Send([reply(request, "own", b"own"), reply(request, "extra", b"extra")].concat())
+        LeafAction::Send(
+            [reply(request, "own", b"own"), reply(request, "extra", b"extra")].concat(),
+        )
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get("/one/").body, "own");
@@ -211,9 +217,9 @@
 }
 
 #[test]
-fn a_reply_that_ends_with_its_connection_is_relayed_whole() {
+fn reply_delimited_by_close_is_relayed_completely() {
     let leaf = ScriptedLeaf::for_all(|_| {
-        Act::SendAndClose(
+        LeafAction::SendAndClose(
             b"HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\n\r\nuntil the end".to_vec(),
         )
     });
@@ -222,11 +228,11 @@
 }
 
 #[test]
-fn the_head_alone_is_relayed_with_the_length_that_it_states() {
+fn reply_to_head_is_relayed_with_its_content_length() {
     let leaf = ScriptedLeaf::for_all(|request| {
         let whole = reply(request, "s", b"12345");
         let head = if request.head.starts_with("HEAD") { whole.len() - 5 } else { whole.len() };
-        Act::Send(whole[..head].to_vec())
+        LeafAction::Send(whole[..head].to_vec())
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -242,10 +248,10 @@
 }
 
 #[test]
-fn a_long_reply_that_is_cut_short_does_not_look_complete() {
+fn truncated_long_reply_does_not_look_complete() {
     let leaf = ScriptedLeaf::for_all(|_| {
         let head = "HTTP/1.1 200 OK\r\ngingerkeel-request-id: r1\r\ncontent-length: 300000\r\n\r\n";
-        Act::SendAndClose([head.as_bytes(), &[b'x'; 200_000]].concat())
+        LeafAction::SendAndClose([head.as_bytes(), &[b'x'; 200_000]].concat())
     });
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     let mut caller = broker.caller();
@@ -254,8 +260,9 @@
 }
 
 #[test]
-fn a_long_reply_is_relayed_whole() {
-    let leaf = ScriptedLeaf::for_all(|request| Act::Send(reply(request, "s", &[b'x'; 300_000])));
+fn long_reply_is_relayed_completely() {
+    let leaf =
+        ScriptedLeaf::for_all(|request| LeafAction::Send(reply(request, "s", &[b'x'; 300_000])));
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     assert_eq!(broker.get("/one/").body.len(), 300_000);
 }
@@ -267,7 +274,7 @@
         let body = [records(part), records(b"c"), b"rest".to_vec()].concat();
         ScriptedLeaf::for_all(move |request| {
             let attestation = std::str::from_utf8(part).unwrap_or_default();
-            Act::Send(reply(request, attestation, &body))
+            LeafAction::Send(reply(request, attestation, &body))
         })
     });
     let shards: Vec<Vec<_>> = leaves.iter().map(|leaf| vec![leaf.address]).collect();
@@ -292,10 +299,10 @@
 )))]
 #[case::unattested(Some(response(200, "gingerkeel-request-id: r1\r\n", &[1; 16])))]
 #[case::full(Some(rejection()))]
-fn a_missing_part_is_counted_and_never_merged(#[case] bytes: Option<Vec<u8>>) {
+fn missing_part_is_counted_and_not_merged(#[case] bytes: Option<Vec<u8>>) {
     let bad = ScriptedLeaf::for_all(move |_| match &bytes {
-        Some(bytes) => Act::Send(bytes.clone()),
-        None => Act::KeepSilent,
+        Some(bytes) => LeafAction::Send(bytes.clone()),
+        None => LeafAction::NoReply,
     });
     let good = honest("good", b"0123456789abcdef");
     let broker = RoutedBroker::start(&[], &[&[good.address], &[bad.address]]);
@@ -305,19 +312,20 @@
     assert_eq!(answer.header("gingerkeel-missing-parts"), Some("1"));
 }
 
-/// Two of three shards give no part. Only where the third did not run the request either is it "not run".
+/// Two of three shards are unreachable. The response is "not run" only if the third shard did not
+/// run the request either.
 #[rstest]
 #[case::one_ran_it(Some(honest("good", b"0123456789abcdef")), 502)]
 #[case::one_failed(Some(failing(500)), 502)]
-#[case::one_rejected_it(Some(ScriptedLeaf::for_all(|_| Act::Send(rejection()))), 503)]
+#[case::one_rejected_it(Some(ScriptedLeaf::for_all(|_| LeafAction::Send(rejection()))), 503)]
 #[case::none_was_reached(None, 503)]
 fn below_the_least_share_the_caller_is_told_whether_shards_ran_it(
     #[case] third: Option<ScriptedLeaf>,
     #[case] status: u16,
 ) {
-    let deaf = [deaf_address()];
-    let third = [third.as_ref().map_or_else(deaf_address, |leaf| leaf.address)];
-    let broker = RoutedBroker::start(&[], &[&third, &deaf, &deaf]);
+    let closed = [closed_address()];
+    let third = [third.as_ref().map_or_else(closed_address, |leaf| leaf.address)];
+    let broker = RoutedBroker::start(&[], &[&third, &closed, &closed]);
     let answer = broker.get("/all/");
     assert_eq!(answer.status, status);
     assert_eq!(answer.header("retry-after").is_some(), status == 503);
@@ -326,15 +334,15 @@
 fn failing(status: u16) -> ScriptedLeaf {
     ScriptedLeaf::for_all(move |request| {
         let id = request.header("gingerkeel-request-id");
-        Act::Send(response(status, &format!("gingerkeel-request-id: {id}\r\n"), b""))
+        LeafAction::Send(response(status, &format!("gingerkeel-request-id: {id}\r\n"), b""))
     })
 }
 
 #[test]
-fn requests_beyond_the_connections_of_a_leaf_wait_for_one() {
+fn requests_beyond_the_connection_limit_wait_for_a_connection() {
     let leaf = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(20));
-        Act::Send(reply(request, "s", b"x"))
+        LeafAction::Send(reply(request, "s", b"x"))
     });
     let mut patient = configuration(0);
     patient.routes.iter_mut().for_each(|route| route.target_latency_ms = 60_000);
@@ -346,8 +354,8 @@
 }
 
 #[test]
-fn a_silent_leaf_is_made_up_for_by_another_within_the_attempts() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+fn unresponsive_leaf_is_hedged_within_the_attempts() {
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let good = honest("good", b"good");
     let broker = RoutedBroker::start(&[silent.address, good.address], &[]);
     assert_eq!(broker.get("/one/").body, "good");
@@ -355,8 +363,8 @@
 }
 
 #[test]
-fn the_time_of_the_route_or_the_caller_ends_a_request() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+fn deadline_of_the_caller_ends_a_request() {
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
     caller.send(request("/once/", "300").as_bytes());
@@ -364,8 +372,8 @@
 }
 
 #[test]
-fn when_the_caller_leaves_the_leaf_connection_is_closed() {
-    let silent = ScriptedLeaf::for_all(|_| Act::KeepSilent);
+fn caller_disconnect_closes_the_leaf_connection() {
+    let silent = ScriptedLeaf::for_all(|_| LeafAction::NoReply);
     let broker = RoutedBroker::start(&[silent.address], &[]);
     let mut caller = broker.caller();
     caller.send(request("/once/", "3000").as_bytes());
@@ -376,7 +384,7 @@
     });
 }
 
-/// Whether the process holds a connection to this port.
+/// Whether the process has a connection to this port.
 fn established(process: u32, port: u16) -> bool {
     let table = std::fs::read_to_string(format!("/proc/{process}/net/tcp")).expect("a table");
     let remote = format!(":{port:04X} 01");
@@ -384,7 +392,7 @@
 }
 
 #[test]
-fn a_broker_that_knows_nothing_is_not_ready_and_says_when_to_come_back() {
+fn broker_without_configuration_is_not_ready_and_sends_a_retry_after() {
     let broker = RoutedBroker::start_on(ControlScript::default(), "");
     assert_eq!(broker.ready(), 503);
     let answer = broker.get("/one/");
@@ -396,14 +404,15 @@
 #[case::held_until_it_serves("start_wait_ms = 3000", 200, 0..1_900)]
 #[case::at_once("start_wait_ms = 0", 503, 0..150)]
 #[case::no_longer_than_set("start_wait_ms = 200", 503, 200..600)]
-fn a_request_that_comes_while_nothing_is_known_yet_is_held(
+fn request_is_held_until_the_configuration_is_known(
     #[case] setting: &str,
     #[case] status: u16,
     #[case] milliseconds: Range<u128>,
 ) {
     let leaf = honest("s", b"x");
-    let news = news(&configuration(0), &directory(&[leaf.address], &[]));
-    let script = ControlScript { news, news_with_lease: 2, ..ControlScript::default() };
+    let feed_messages = feed_messages(&configuration(0), &directory(&[leaf.address], &[]));
+    let script =
+        ControlScript { feed_messages, feed_messages_lease: 2, ..ControlScript::default() };
     let broker = RoutedBroker::start_on(script, setting);
     assert_eq!(broker.ready(), 503);
     let began = Instant::now();
@@ -415,10 +424,10 @@
 }
 
 #[test]
-fn a_rush_beyond_what_the_leaf_works_on_at_once_is_served_one_after_the_other() {
+fn burst_beyond_the_concurrency_of_a_leaf_is_queued() {
     let leaf = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(20));
-        Act::Send(reply(request, "s", b"x"))
+        LeafAction::Send(reply(request, "s", b"x"))
     });
     let mut configuration = configuration(0);
     for service in &mut configuration.services {
@@ -435,11 +444,14 @@
 #[rstest]
 #[case::refuse("", 503)]
 #[case::serve("out_of_touch = \"serve\"", 200)]
-fn what_is_done_out_of_touch_is_a_setting(#[case] setting: &str, #[case] status: u16) {
+fn requests_without_a_lease_follow_the_out_of_touch_setting(
+    #[case] setting: &str,
+    #[case] status: u16,
+) {
     let leaf = honest("s", b"x");
-    let news = news(&configuration(0), &directory(&[leaf.address], &[]));
+    let feed_messages = feed_messages(&configuration(0), &directory(&[leaf.address], &[]));
     let script = ControlScript {
-        news,
+        feed_messages,
         lease_milliseconds: 1_500,
         renews: false,
         ..ControlScript::default()
@@ -453,10 +465,10 @@
 }
 
 #[test]
-fn a_planned_stop_finishes_what_is_in_flight_and_what_still_arrives() {
+fn planned_stop_finishes_requests_in_flight_and_late_arrivals() {
     let slow = ScriptedLeaf::for_all(|request| {
         sleep(Duration::from_millis(600));
-        Act::Send(reply(request, "s", b"whole"))
+        LeafAction::Send(reply(request, "s", b"whole"))
     });
     let mut broker = RoutedBroker::start(&[slow.address], &[]);
     let mut in_flight = broker.caller();
@@ -475,9 +487,9 @@
     broker.broker.assert_ends_well();
 }
 
-/// Asks on one connection after the other, or on one for as long as it is kept, until the broker
-/// takes no connection any more; gives the status of each answer, and 0 for a request that got none.
-fn ask_until_gone(broker: SocketAddr, path: &str) -> Vec<u16> {
+/// Sends requests until the broker accepts no more connections, on one connection for as long as it
+/// is kept open. Returns the status of each response, and 0 for a request without one.
+fn send_until_closed(broker: SocketAddr, path: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     while let Some(mut caller) = Caller::try_connect(broker) {
         loop {
@@ -485,8 +497,8 @@
             let answer = caller.receive();
             let status = answer.as_ref().map_or(0, |answer| answer.status);
             let refused = answer.as_ref().is_some_and(|answer| answer.status == 503);
-            let come_back = answer.as_ref().and_then(|answer| answer.header("retry-after"));
-            assert!(!refused || come_back.is_some(), "a refusal says when to come back");
+            let retry_after = answer.as_ref().and_then(|answer| answer.header("retry-after"));
+            assert!(!refused || retry_after.is_some(), "a refusal has a retry-after");
             statuses.push(status);
             if refused {
                 sleep(Duration::from_millis(10));
@@ -505,38 +517,42 @@
 #[case::slow_and_not_repeatable(150, "/once/", 1)]
 #[case::slow_with_many_callers(150, "/one/", 6)]
 #[case::slower_than_the_stop(2_500, "/once/", 2)]
-fn callers_that_go_on_asking_until_the_end_of_a_planned_stop_lose_no_answer(
+fn callers_active_during_a_planned_stop_lose_no_answer(
     #[case] leaf_ms: u64,
     #[case] path: &'static str,
     #[case] callers: usize,
 ) {
     let leaf = ScriptedLeaf::for_all(move |request| {
         sleep(Duration::from_millis(leaf_ms));
-        Act::Send(reply(request, "s", b"whole"))
+        LeafAction::Send(reply(request, "s", b"whole"))
     });
     let mut broker = RoutedBroker::start(&[leaf.address], &[]);
     let routes = broker.routes;
     let asking: Vec<_> =
-        (0..callers).map(|_| spawn(move || ask_until_gone(routes, path))).collect();
+        (0..callers).map(|_| spawn(move || send_until_closed(routes, path))).collect();
     wait_until("the leaf has requests", || !leaf.requests().is_empty());
     broker.broker.signal(Signal::TERM);
-    // A second word of the same changes nothing.
+    // A second signal has no effect.
     sleep(Duration::from_millis(300));
     broker.broker.signal(Signal::TERM);
     let statuses: Vec<Vec<u16>> =
         asking.into_iter().map(|asking| asking.join().expect("no panic")).collect();
     for answered in &statuses {
-        // The last connection may have come just before the listener was gone, unread.
+        // The last connection may still be unread when the listener closes.
         let (_, read) = answered.split_last().expect("requests");
-        assert!(!read.contains(&0), "a request was cut: {statuses:?}");
+        assert!(!read.contains(&0), "a request got no response: {statuses:?}");
     }
     let answered = statuses.iter().flatten().filter(|status| ![0, 503].contains(*status));
-    assert_eq!(leaf.requests().len(), answered.count(), "passed on and cut: {statuses:?}");
+    assert_eq!(
+        leaf.requests().len(),
+        answered.count(),
+        "forwarded without a response: {statuses:?}"
+    );
     broker.broker.assert_ends_well();
 }
 
 #[test]
-fn the_word_of_changed_settings_does_not_end_the_process() {
+fn sighup_does_not_end_the_process() {
     let leaf = honest("s", b"x");
     let broker = RoutedBroker::start(&[leaf.address], &[]);
     broker.broker.signal(Signal::HUP);
--- a/crates/transport/src/http1/body.rs
+++ b/crates/transport/src/http1/body.rs
@@ -1,14 +1,14 @@
-//! Bodies, piece by piece.
+//! Streaming decoder of message bodies.
 
 use bytes::{Bytes, BytesMut};
 
 use super::framing::BodyFraming;
-use super::head::HeadFault;
+use super::head::HeadError;
 
-/// Longest line that gives the size of a chunk, or of a trailer.
+/// Maximum length of a chunk-size line or a trailer field, in bytes.
 const LINE_LIMIT: usize = 4 * 1024;
 
-/// Takes the pieces of one body off a buffer.
+/// Decodes one body from a buffer, piece by piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BodyDecoder {
     state: State,
@@ -26,7 +26,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder of a body framed in this way.
+    /// Creates a decoder of a body with this framing.
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::None => State::Done,
@@ -37,21 +37,21 @@
         Self { state }
     }
 
-    /// Whether the whole body was taken.
+    /// Whether the body is complete.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether the body ends with the connection.
+    /// Whether the close of the connection ends the body.
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// The next piece; none when more bytes are needed, or the body is done.
+    /// The next piece; none if more bytes are needed or the body is complete.
     ///
     /// # Errors
-    /// A [`HeadFault`] when the chunks are malformed.
-    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadFault> {
+    /// A [`HeadError`] if the chunked encoding is malformed.
+    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadError> {
         loop {
             match self.state {
                 State::Done => return Ok(None),
@@ -91,7 +91,7 @@
     }
 }
 
-fn chunk_state(line: &[u8]) -> Result<State, HeadFault> {
+fn chunk_state(line: &[u8]) -> Result<State, HeadError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let hexadecimal = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).map_err(|_| malformed("size of a chunk"))?;
@@ -110,7 +110,8 @@
     Some((buffer.split_to(count as usize).freeze(), count))
 }
 
-fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadFault> {
+/// Splits off a line without its CRLF; none if the buffer holds no complete line.
+fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, HeadError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         if buffer.len() > LINE_LIMIT {
             return Err(malformed("a line without an end"));
@@ -124,6 +125,6 @@
     }
 }
 
-fn malformed(reason: &str) -> HeadFault {
-    HeadFault::Malformed(reason.to_owned())
+fn malformed(reason: &str) -> HeadError {
+    HeadError::Malformed(reason.to_owned())
 }
