--- a/crates/protocol/src/document.rs
+++ b/crates/protocol/src/document.rs
@@ -36,7 +36,7 @@
     postcard::from_bytes(bytes).map_err(|error| ProtocolError::Document(error.to_string()))
 }
 
-/// Serializes a document and compresses it if it has at least [`COMPRESS_FROM`] bytes.
+/// Serializes a document and compresses it if it has at least `COMPRESS_FROM` bytes.
 ///
 /// # Errors
 /// [`ProtocolError::Document`] when the type cannot be serialized.
