--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -36,8 +36,7 @@
     #[serde(default = "default_place")]
     pub zone: String,
     /// All control processes of the cluster including this one. Empty if there is no other one, or
-    /// if
-    /// `seeds` is set.
+    /// if `seeds` is set.
     #[serde(default)]
     pub peers: Vec<PeerSettings>,
     /// Seed nodes for discovery of the control processes, as an alternative to `peers`.
